--- a/parsleydrift-daemon/src/test/java/org/parsleydrift/daemon/DaemonSettingsTest.java
+++ b/parsleydrift-daemon/src/test/java/org/parsleydrift/daemon/DaemonSettingsTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.expectThrows;
 
 import java.time.Duration;
-import org.parsleydrift.kernel.codec.JsonFaultsException;
+import org.parsleydrift.kernel.codec.InvalidJsonException;
 import org.testng.annotations.Test;
 
 /** Settings are checked whole, with every fault at its place. */
@@ -15,16 +15,16 @@
                 {"vm": "vm1", "zone": "a", /* callers */ "http": "10.0.0.1:80", "link": "10.0.0.1:81",
                  "platform": "10.0.0.9:80", "timings": {"heartbeat_ms": 100, "platform_writes_per_second": 50}}
                 """);
-        assertEquals(settings.nodeSettings().timings().heartbeat(), Duration.ofMillis(100));
+        assertEquals(settings.nodeSettings().timings().heartbeatInterval(), Duration.ofMillis(100));
         assertEquals(settings.nodeSettings().timings().platformWritesPerSecond(), 50);
         assertEquals(settings.plugin(), "http");
     }
 
     @Test
     public void everyFaultIsNamedAtOnce() {
-        JsonFaultsException faults = expectThrows(
-                JsonFaultsException.class,
+        InvalidJsonException faults = expectThrows(
+                InvalidJsonException.class,
                 () -> DaemonSettings.parse("s.json", "{\"vm\": \"a b\",\n \"zone\": \"\",\n \"hpt\": 1}"));
-        assertEquals(faults.faults().size(), 6, faults.getMessage());
+        assertEquals(faults.errors().size(), 6, faults.getMessage());
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/Incarnation.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/Incarnation.java
@@ -202,7 +202,7 @@
                             host.drain();
                             sealWhenQuiet(
                                     loop.clock().nanos()
-                                            + settings.timings().drainLimit().toNanos(),
+                                            + settings.timings().drainTimeout().toNanos(),
                                     drained);
                         },
                         loop);
@@ -299,7 +299,7 @@
             refresh();
             shareWriteRate();
             takeover.work();
-            loop.schedule(settings.timings().registryPoll(), this::poll);
+            loop.schedule(settings.timings().registryPollInterval(), this::poll);
         }
     }
 
@@ -310,7 +310,7 @@
     private void shareWriteRate() {
         NodeSettings.Timings timings = settings.timings();
         long perWriter = (peers().size() + 1) * 1_000_000_000L / timings.platformWritesPerSecond();
-        journal.commitInterval(
+        journal.setCommitInterval(
                 Duration.ofNanos(Math.max(timings.commitInterval().toNanos(), perWriter)));
     }
 
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
@@ -92,7 +92,7 @@
      *
      * @param addresses link addresses
      */
-    public void seedPeers(List<String> addresses) {
+    public void setSeedPeers(List<String> addresses) {
         seedPeers = List.copyOf(addresses);
     }
 
@@ -149,7 +149,7 @@
      *
      * @return true if it is ready
      */
-    public boolean ready() {
+    public boolean isReady() {
         return incarnation.active() && manifest.version() != null && !draining;
     }
 
@@ -159,7 +159,7 @@
      * @param team the caller's team
      * @return the advice, or empty if no node takes new work
      */
-    public Optional<EntryAdvice> entry(String team) {
+    public Optional<EntryAssignment> assignEntryNode(String team) {
         List<NodeRecord> takers = incarnation.active() ? incarnation.takers() : List.of();
         if (takers.isEmpty() || manifest.version() == null) {
             return Optional.empty();
@@ -183,7 +183,7 @@
                         .with("node", owner.incarnation())
                         .with("candidates", takers.size())
                         .toString());
-        return Optional.of(new EntryAdvice(owner.http(), alternates, TTL_SECONDS, manifest.generation(), ticket));
+        return Optional.of(new EntryAssignment(owner.http(), alternates, TTL_SECONDS, manifest.generation(), ticket));
     }
 
     /**
@@ -193,7 +193,8 @@
      */
     public NodeStatus status() {
         Map<ProgramId, ProgramState> states = incarnation.host().states();
-        int ended = (int) states.values().stream().filter(ProgramState::over).count();
+        int ended =
+                (int) states.values().stream().filter(ProgramState::hasEnded).count();
         List<NodeStatus.PeerStatus> peers = incarnation.peers().stream()
                 .map(peer -> new NodeStatus.PeerStatus(
                         peer.incarnation(),
@@ -205,12 +206,12 @@
         return new NodeStatus(
                 incarnation.name(),
                 settings.zone(),
-                ready(),
+                isReady(),
                 draining,
                 manifest.generation(),
                 states.size() - ended,
                 ended,
-                incarnation.journal().sequence(),
+                incarnation.journal().durableSequence(),
                 peers);
     }
 
@@ -229,7 +230,7 @@
      * @param id the program
      * @return true if it does
      */
-    public boolean running(ProgramId id) {
+    public boolean isRunning(ProgramId id) {
         return incarnation.host().running(id);
     }
 
@@ -299,7 +300,7 @@
                 .whenCompleteAsync(
                         (handedOver, failure) -> exitWhenUnused(
                                 loop.clock().nanos()
-                                        + settings.timings().drainLimit().toNanos() * 2,
+                                        + settings.timings().drainTimeout().toNanos() * 2,
                                 done),
                         loop);
         return done;
@@ -419,7 +420,7 @@
     private void pollVms() {
         environment
                 .store()
-                .vms()
+                .listVms()
                 .whenCompleteAsync(
                         (rows, failure) -> {
                             if (failure == null) {
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnections.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnections.java
@@ -34,20 +34,20 @@
     private static final Duration SWEEP = Duration.ofMillis(250);
 
     private final Bootstrap bootstrap;
-    private final RelayDialect dialect;
+    private final HeaderNames dialect;
     private final EventLoop loop;
     private final Map<String, Deque<RunnerConnection>> idle = new HashMap<>();
     private boolean sweeping;
 
-    RunnerConnections(NetworkThreads threads, EventLoop loop, RelayDialect dialect) {
+    RunnerConnections(NetworkThreads threads, EventLoop loop, HeaderNames dialect) {
         this.loop = loop;
         this.dialect = dialect;
-        this.bootstrap = threads.connector(CONNECT_TIMEOUT);
+        this.bootstrap = threads.clientBootstrap(CONNECT_TIMEOUT);
     }
 
     /** Gives a connection on which nothing was sent for the next request; fails with StepException. */
     CompletableFuture<RunnerConnection> acquire(Runner runner) {
-        RunnerConnection kept = takeIdle(runner.life());
+        RunnerConnection kept = takeIdle(runner.incarnation());
         return kept != null ? CompletableFuture.completedFuture(kept) : connect(runner);
     }
 
@@ -92,7 +92,7 @@
 
     private CompletableFuture<RunnerConnection> connect(Runner runner) {
         CompletableFuture<RunnerConnection> connected = new CompletableFuture<>();
-        RunnerConnection connection = new RunnerConnection(this, runner.life(), dialect, loop.clock());
+        RunnerConnection connection = new RunnerConnection(this, runner.incarnation(), dialect, loop.clock());
         int colon = runner.address().lastIndexOf(':');
         var address = new InetSocketAddress(
                 runner.address().substring(0, colon),
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TurnRecord.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TurnRecord.java
@@ -43,7 +43,7 @@
     /** Reserves tokens and reads the chain; completes on the relay's loop and never fails. */
     CompletableFuture<BeginResult> begin(Duration patience) {
         OptionalInt budget = facts.program().isEmpty() ? OptionalInt.empty() : facts.budget();
-        String previous = route.keepsConversation() ? previousTurn() : "";
+        String previous = route.stateful() ? previousTurn() : "";
         BeginRequest begin = new BeginRequest(
                 program(), facts.id(), budget, facts.mostTokens(), previous, route.retention(), patience);
         return relay.conversations()
@@ -60,12 +60,12 @@
     private void logDenied(BeginResult result) {
         LogLine line = LogLine.of("turn_denied").with("request", facts.id()).with("program", facts.program());
         switch (result) {
-            case BeginResult.Spent spent ->
+            case BeginResult.BudgetSpent spent ->
                 LOG.log(
                         Logger.Level.INFO,
                         line.with("reason", "budget_spent")
-                                .with("counted", spent.counted())
-                                .with("generated", spent.generated())
+                                .with("counted", spent.countedTokens())
+                                .with("generated", spent.generatedTokens())
                                 .with("most", facts.mostTokens())
                                 .with("budget", facts.budget().orElse(0))
                                 .toString());
@@ -97,7 +97,8 @@
             reserved = false;
             int tokens = tokensOf(events, service);
             relay.conversations()
-                    .background(new Grant(program(), facts.id(), GrantState.SETTLED, tokens, ""), route.retention());
+                    .writeInBackground(
+                            new Grant(program(), facts.id(), GrantState.SETTLED, tokens, ""), route.retention());
         }
     }
 
@@ -120,7 +121,7 @@
     CompletableFuture<Void> end(
             String runner, String service, byte[] input, EventStreamReader events, long leftMillis) {
         int tokens = tokensOf(events.events(), service);
-        if (!route.keepsConversation()) {
+        if (!route.stateful()) {
             return settle(runner, tokens);
         }
         Duration patience = Duration.ofMillis(Math.min(leftMillis, RelayLimits.COMMIT_MOST.toMillis()));
@@ -138,7 +139,7 @@
                 .commit(Optional.of(grant), Optional.empty(), route.retention(), RelayLimits.SETTLE_WAIT)
                 .whenComplete((done, failure) -> relay.loop().execute(() -> {
                     if (failure != null) {
-                        relay.conversations().background(grant, route.retention());
+                        relay.conversations().writeInBackground(grant, route.retention());
                     }
                     waited.complete(null);
                 }));
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/BrokenTurnTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/BrokenTurnTest.java
@@ -30,8 +30,8 @@
 import org.parsleydrift.conversation.StoreMember;
 import org.parsleydrift.conversation.StoreSet;
 import org.parsleydrift.kernel.SystemClock;
-import org.parsleydrift.placement.AllotmentRule;
-import org.parsleydrift.placement.Allotments;
+import org.parsleydrift.placement.QuotaPolicy;
+import org.parsleydrift.placement.QuotaTracker;
 import org.parsleydrift.registry.CallKind;
 import org.parsleydrift.registry.CallerLimits;
 import org.parsleydrift.registry.Destination;
@@ -73,12 +73,12 @@
         loop = new NetworkLoop(threads, new SystemClock());
         registry = new Registry(loop, new ObjectDecoder() {
             @Override
-            public RoutingManifest manifest(byte[] content) {
+            public RoutingManifest decodeManifest(byte[] content) {
                 return BrokenTurnTest.manifest(content.length == 0);
             }
 
             @Override
-            public Runner runner(String name, byte[] content) {
+            public Runner decodeRunner(String name, byte[] content) {
                 return runner.entry();
             }
         });
@@ -92,9 +92,9 @@
                 registry,
                 new Dispatcher(registry, new Random(1), "z", loop.clock()::nanos),
                 new Conversations(client),
-                new Allotments(
-                        loop.clock()::nanos, new Random(3), new AllotmentRule(Duration.ofSeconds(5), 20), () -> true),
-                RelayDialect.own(),
+                new QuotaTracker(
+                        loop.clock()::nanos, new Random(3), new QuotaPolicy(Duration.ofSeconds(5), 20), () -> true),
+                HeaderNames.defaults(),
                 new Random(2),
                 new SimpleMeterRegistry());
         server = new CallerServer(
@@ -128,7 +128,7 @@
         return CompletableFuture.completedFuture(
                 switch (request) {
                     case ReplicaRequest.Write write -> {
-                        write.grants().forEach(each -> grants.merge(each.request(), each, Grant::join));
+                        write.grants().forEach(each -> grants.merge(each.request(), each, Grant::merge));
                         yield new ReplicaReply.Written();
                     }
                     case ReplicaRequest.Read read ->
@@ -162,8 +162,8 @@
     private void serve(Function<String, String> script) throws IOException {
         runner = new ScriptedRunner("r1", script);
         loop.execute(() -> {
-            registry.manifestChanged(List.of(new SharedObject("main", 1, false, new byte[0])));
-            registry.runnersChanged(List.of(new SharedObject("r1", 1, false, new byte[0])));
+            registry.applyManifestChanges(List.of(new SharedObject("main", 1, false, new byte[0])));
+            registry.applyRunnerChanges(List.of(new SharedObject("r1", 1, false, new byte[0])));
         });
     }
 
@@ -178,7 +178,7 @@
 
     private int countedOf(String id) {
         CompletableFuture<Integer> counted = new CompletableFuture<>();
-        loop.execute(() -> counted.complete(grants.get(id).counted()));
+        loop.execute(() -> counted.complete(grants.get(id).countedTokens()));
         return counted.join();
     }
 
@@ -234,7 +234,8 @@
         serve(request -> STREAM.formatted("q1", 100, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"));
         try (Socket socket = send("q1", "Parsleydrift-Deadline-Ms: 700\r\n")) {
             awaitPassedOn(socket);
-            loop.execute(() -> registry.manifestChanged(List.of(new SharedObject("main", 2, false, new byte[] {1}))));
+            loop.execute(
+                    () -> registry.applyManifestChanges(List.of(new SharedObject("main", 2, false, new byte[] {1}))));
             socket.getInputStream().transferTo(OutputStream.nullOutputStream());
         } catch (SocketException reset) {
             // The broken stream ends with a reset or a close; either will do here.
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/DispatcherTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/DispatcherTest.java
@@ -11,8 +11,8 @@
 import java.util.Random;
 import java.util.Set;
 import org.parsleydrift.kernel.ManualScheduler;
+import org.parsleydrift.placement.CachedPart;
 import org.parsleydrift.placement.Candidate;
-import org.parsleydrift.placement.HeldPart;
 import org.parsleydrift.placement.PromptPart;
 import org.parsleydrift.registry.ObjectDecoder;
 import org.parsleydrift.registry.Registry;
@@ -59,7 +59,7 @@
         }
 
         @Override
-        public List<HeldPart> heard() {
+        public List<CachedPart> heard() {
             return List.of();
         }
 
@@ -96,12 +96,12 @@
         ManualScheduler time = new ManualScheduler();
         registry = new Registry(time.newLoop(), new ObjectDecoder() {
             @Override
-            public RoutingManifest manifest(byte[] content) {
+            public RoutingManifest decodeManifest(byte[] content) {
                 throw new UnsupportedOperationException();
             }
 
             @Override
-            public Runner runner(String name, byte[] content) {
+            public Runner decodeRunner(String name, byte[] content) {
                 return new Runner(name, "s", "10.0.0.1:1", "z", SLOTS, content.length > 0);
             }
         });
@@ -111,7 +111,7 @@
 
     private void runner(String id, boolean draining) {
         byte[] content = draining ? "d".getBytes(UTF_8) : new byte[0];
-        registry.runnersChanged(List.of(new SharedObject(id, ++revision, false, content)));
+        registry.applyRunnerChanges(List.of(new SharedObject(id, ++revision, false, content)));
     }
 
     /** A burst fills the runners; the rest waits here, and programs under way go before new ones. */
@@ -134,7 +134,7 @@
     public void whatPeersHaveAtARunnerCounts() {
         runner("r1", false);
         runner("r2", false);
-        dispatcher.peerLoads(Map.of("peer", loadAt("r1", SLOTS)));
+        dispatcher.updatePeerLoads(Map.of("peer", loadAt("r1", SLOTS)));
         Request request = new Request("a", 0, false);
         dispatcher.submit(request);
         assertEquals(request.runner.id(), "r2");
@@ -158,7 +158,7 @@
     public void runnersWhoseNamesShareAHashAreToldApart() {
         assertEquals("Aa".hashCode(), "BB".hashCode());
         List.of("Aa", "BB").forEach(id -> runner(id, false));
-        dispatcher.peerLoads(Map.of("peer", loadAt("Aa", SLOTS + 1)));
+        dispatcher.updatePeerLoads(Map.of("peer", loadAt("Aa", SLOTS + 1)));
         dispatcher.submit(new Request("one", 1, false));
         assertEquals(placed.size(), 1);
     }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
@@ -17,10 +17,10 @@
 import org.parsleydrift.kernel.LogLine;
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
-import org.parsleydrift.placement.Allotments;
+import org.parsleydrift.placement.QuotaTracker;
 import org.parsleydrift.registry.CallerLimits;
-import org.parsleydrift.registry.ObjectFollower;
 import org.parsleydrift.registry.ObjectKind;
+import org.parsleydrift.registry.ObjectWatcher;
 import org.parsleydrift.registry.Registry;
 import org.parsleydrift.registry.RoutingManifest;
 import org.parsleydrift.registry.SharedObject;
@@ -54,14 +54,14 @@
     private final Registry registry;
     private final ConversationClient stores;
     private final ReplicaCalls calls;
-    private final Allotments allotments;
+    private final QuotaTracker allotments;
     private final Dispatcher dispatcher;
     private final Relay relay;
     private final NodeMesh mesh;
     private final FollowedObjects runners;
     private final FollowedObjects manifests;
     private final FollowedObjects storeSets;
-    private final ObjectFollower nodes;
+    private final ObjectWatcher nodes;
     private final CallerServer callers;
     private volatile boolean draining;
     private boolean entrySought;
@@ -83,8 +83,8 @@
                 request -> CompletableFuture.failedFuture(
                         new StepException(Step.FORWARD, self.name(), "an entry node keeps no conversations")));
         stores = new ConversationClient(parts.loop, calls);
-        allotments =
-                new Allotments(parts.loop.clock()::nanos, parts.random, settings.allotmentRule(), this::knowsFleetsUse);
+        allotments = new QuotaTracker(
+                parts.loop.clock()::nanos, parts.random, settings.allotmentRule(), this::knowsFleetsUse);
         dispatcher = new Dispatcher(registry, parts.random, settings.zone(), parts.loop.clock()::nanos);
         relay = new Relay(
                 parts.threads,
@@ -93,11 +93,12 @@
                 dispatcher,
                 new Conversations(stores),
                 allotments,
-                parts.outside.dialect(),
+                parts.outside.headerNames(),
                 parts.random,
                 parts.meters);
-        runners = followed(ObjectKind.RUNNERS, listener(registry::runnersChanged, registry::platformReached));
-        manifests = followed(ObjectKind.MANIFEST, listener(registry::manifestChanged, registry::manifestCurrent));
+        runners = followed(ObjectKind.RUNNERS, listener(registry::applyRunnerChanges, registry::setPlatformReachable));
+        manifests =
+                followed(ObjectKind.MANIFEST, listener(registry::applyManifestChanges, registry::setManifestCurrent));
         storeSets = followed(ObjectKind.STORE_SET, listener(this::storeSetChanged, reached -> {}));
         nodes = parts.follow(
                 ObjectKind.NODES, RARE_WATCH_WAIT, new VersionedTable(), listener(this::nodesChanged, reached -> {}));
@@ -109,11 +110,11 @@
                 self,
                 new FleetUse(dispatcher, allotments),
                 this::ready,
-                stores::reachesStores,
+                stores::hasReachableQuorum,
                 parts.random,
                 Map.of(ObjectKind.RUNNERS, runners, ObjectKind.MANIFEST, manifests, ObjectKind.STORE_SET, storeSets),
                 nodes::follow);
-        calls.overPeers(mesh::peerThatReachesStores);
+        calls.setRelayFinder(mesh::peerThatReachesStores);
         callers = new CallerServer(
                 parts.threads,
                 parts.loop,
@@ -122,8 +123,8 @@
                 () -> registry.manifest().map(RoutingManifest::limits).orElseGet(CallerLimits::defaults));
         parts.serve(settings.readiness().orElseThrow(), SMALL_SERVER_CONNECTIONS, this::readiness);
         parts.serve(settings.directory().orElseThrow(), SMALL_SERVER_CONNECTIONS, this::directory);
-        parts.meters.gauge("parsleydrift.requests.open", relay, Relay::open);
-        parts.meters.gauge("parsleydrift.requests.waiting", dispatcher, Dispatcher::waiting);
+        parts.meters.gauge("parsleydrift.requests.open", relay, Relay::openRequests);
+        parts.meters.gauge("parsleydrift.requests.waiting", dispatcher, Dispatcher::queueLength);
     }
 
     @Override
@@ -146,7 +147,7 @@
         parts.loop.execute(() -> {
             mesh.tellNow();
             callers.drain();
-            parts.loop.every(DRAIN_CHECK, () -> drainStep(begun, ended));
+            parts.loop.scheduleWithFixedDelay(DRAIN_CHECK, () -> drainStep(begun, ended));
         });
         try {
             long most = (long) (parts.settings.grace().toMillis() * END_SHARE);
@@ -171,15 +172,15 @@
     private void drainStep(long begunNanos, CountDownLatch ended) {
         long sinceMillis = (parts.loop.clock().nanos() - begunNanos) / 1_000_000;
         if (sinceMillis > parts.settings.grace().toMillis() * OPEN_SHARE) {
-            callers.closeIdle();
-            if (relay.open() == 0 && callers.connections() == 0) {
+            callers.closeIdleConnections();
+            if (relay.openRequests() == 0 && callers.openConnections() == 0) {
                 ended.countDown();
             }
         }
     }
 
     private boolean ready() {
-        boolean cutOff = !stores.reachesStores() && !mesh.hearsAnyone() && mesh.hasKnownPeers();
+        boolean cutOff = !stores.hasReachableQuorum() && !mesh.hearsAnyone() && mesh.hasKnownPeers();
         return !draining && registry.manifest().isPresent() && !cutOff;
     }
 
@@ -203,7 +204,7 @@
             exchange.respond(503, "text/plain", "", Map.of("Retry-After", "0.3"));
             return;
         }
-        exchange.respond(200, "application/json", parts.outside.directoryAnswer(addresses, KEEP_SECONDS), Map.of());
+        exchange.respond(200, "application/json", parts.outside.directoryResponse(addresses, KEEP_SECONDS), Map.of());
     }
 
     private void receive(byte[] frame) {
@@ -291,22 +292,22 @@
                 }));
     }
 
-    private static ObjectFollower.Listener listener(
+    private static ObjectWatcher.Listener listener(
             Consumer<List<SharedObject>> news, Consumer<Boolean> platformReached) {
-        return new ObjectFollower.Listener() {
+        return new ObjectWatcher.Listener() {
             @Override
-            public void changed(List<SharedObject> changed) {
+            public void onChanges(List<SharedObject> changed) {
                 news.accept(changed);
             }
 
             @Override
-            public void reached(boolean reached) {
+            public void onReachabilityChanged(boolean reached) {
                 platformReached.accept(reached);
             }
         };
     }
 
-    private FollowedObjects followed(ObjectKind kind, ObjectFollower.Listener listener) {
+    private FollowedObjects followed(ObjectKind kind, ObjectWatcher.Listener listener) {
         FollowedObjects objects =
                 new FollowedObjects(kind, parts.objects, parts.loop, parts.random, WATCH_WAIT, listener);
         objects.measure(parts.meters);
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/StoreRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/StoreRole.java
@@ -9,11 +9,11 @@
 import org.parsleydrift.conversation.ConversationReplica;
 import org.parsleydrift.conversation.FileDurableLog;
 import org.parsleydrift.conversation.ReplicaCalls;
-import org.parsleydrift.conversation.StoreSetKeeper;
+import org.parsleydrift.conversation.StoreSetController;
 import org.parsleydrift.kernel.LogLine;
 import org.parsleydrift.kernel.SystemClock;
-import org.parsleydrift.registry.ObjectFollower;
 import org.parsleydrift.registry.ObjectKind;
+import org.parsleydrift.registry.ObjectWatcher;
 import org.parsleydrift.registry.SharedObject;
 import org.parsleydrift.registry.VersionedTable;
 
@@ -29,7 +29,7 @@
     private final FileDurableLog log;
     private final ConversationReplica replica;
     private final ReplicaCalls calls;
-    private final StoreSetKeeper keeper;
+    private final StoreSetController keeper;
 
     StoreRole(ProcessParts parts) {
         this.parts = parts;
@@ -38,7 +38,7 @@
         this.replica = new ConversationReplica(parts.loop, log, settings.vm(), StoreRole::freshDiskId);
         LinkFrames frames = new LinkFrames(parts, this::receive);
         this.calls = new ReplicaCalls(parts.loop, frames, settings.link().toString(), replica);
-        this.keeper = new StoreSetKeeper(
+        this.keeper = new StoreSetController(
                 parts.loop,
                 parts.objects,
                 replica,
@@ -61,10 +61,10 @@
     public void start() {
         parts.loop.execute(() -> {
             replica.start(calls);
-            ObjectFollower sets = follower(ObjectKind.STORE_SET, keeper::setChanged);
-            keeper.onWatching(sets::follow);
+            ObjectWatcher sets = follower(ObjectKind.STORE_SET, keeper::onSetChanged);
+            keeper.setWatchListener(sets::follow);
             sets.start();
-            follower(ObjectKind.RETIREMENTS, keeper::retirementsChanged).start();
+            follower(ObjectKind.RETIREMENTS, keeper::onRetirementsChanged).start();
             keeper.start();
         });
     }
@@ -86,15 +86,15 @@
         calls.receive(frame);
     }
 
-    private ObjectFollower follower(ObjectKind kind, Consumer<List<SharedObject>> news) {
-        return parts.follow(kind, WATCH_WAIT, new VersionedTable(), new ObjectFollower.Listener() {
+    private ObjectWatcher follower(ObjectKind kind, Consumer<List<SharedObject>> news) {
+        return parts.follow(kind, WATCH_WAIT, new VersionedTable(), new ObjectWatcher.Listener() {
             @Override
-            public void changed(List<SharedObject> changed) {
+            public void onChanges(List<SharedObject> changed) {
                 news.accept(changed);
             }
 
             @Override
-            public void reached(boolean reached) {
+            public void onReachabilityChanged(boolean reached) {
                 // The follower has logged it; the set stays as it is until the platform is back.
             }
         });
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshMember.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshMember.java
@@ -13,12 +13,12 @@
 import org.parsleydrift.conversation.FrameSender;
 import org.parsleydrift.kernel.ManualEventLoop;
 import org.parsleydrift.kernel.ManualScheduler;
-import org.parsleydrift.placement.AllotmentRule;
-import org.parsleydrift.placement.Allotments;
+import org.parsleydrift.placement.QuotaPolicy;
+import org.parsleydrift.placement.QuotaTracker;
 import org.parsleydrift.registry.ObjectChanges;
 import org.parsleydrift.registry.ObjectDecoder;
-import org.parsleydrift.registry.ObjectFollower;
 import org.parsleydrift.registry.ObjectKind;
+import org.parsleydrift.registry.ObjectWatcher;
 import org.parsleydrift.registry.Registry;
 import org.parsleydrift.registry.RoutingManifest;
 import org.parsleydrift.registry.Runner;
@@ -36,7 +36,7 @@
     int silences;
     final List<SharedObject> learned = new ArrayList<>();
     final NodeMesh mesh;
-    final Allotments allotments;
+    final QuotaTracker allotments;
     boolean ready = true;
     boolean reachesStores = true;
     boolean cut;
@@ -75,17 +75,17 @@
         identity = new NodeIdentity(name, zone, name + ":80", name);
         Registry registry = new Registry(loop, new ObjectDecoder() {
             @Override
-            public RoutingManifest manifest(byte[] content) {
+            public RoutingManifest decodeManifest(byte[] content) {
                 throw new UnsupportedOperationException();
             }
 
             @Override
-            public Runner runner(String runner, byte[] content) {
+            public Runner decodeRunner(String runner, byte[] content) {
                 throw new UnsupportedOperationException();
             }
         });
         Dispatcher dispatcher = new Dispatcher(registry, new Random(1), "z", time::nanos);
-        allotments = new Allotments(time::nanos, random, new AllotmentRule(Duration.ofSeconds(5), 20), () -> true);
+        allotments = new QuotaTracker(time::nanos, random, new QuotaPolicy(Duration.ofSeconds(5), 20), () -> true);
         mesh = new NodeMesh(
                 loop,
                 sender(),
@@ -112,14 +112,14 @@
 
     private FollowedObjects followed(ObjectKind kind, SharedObjects platform) {
         FollowedObjects objects =
-                new FollowedObjects(kind, platform, loop, random, EntryRole.WATCH_WAIT, new ObjectFollower.Listener() {
+                new FollowedObjects(kind, platform, loop, random, EntryRole.WATCH_WAIT, new ObjectWatcher.Listener() {
                     @Override
-                    public void changed(List<SharedObject> news) {
+                    public void onChanges(List<SharedObject> news) {
                         news.forEach(each -> newest.merge(kind, each.revision(), Math::max));
                     }
 
                     @Override
-                    public void reached(boolean reached) {
+                    public void onReachabilityChanged(boolean reached) {
                         silences += reached ? 0 : 1;
                     }
                 });
