--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/EntryAdvice.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/EntryAdvice.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * Which address a caller should use, and for how long.
+ * Entry node assigned to a caller.
  *
- * @param address the node to connect to
- * @param alternates nodes to use if it does not answer, other availability zones first
- * @param ttlSeconds how long to keep this
- * @param generation the manifest generation in force
- * @param ticket names the journal that new work belongs to
+ * @param address HTTP address of the entry node
+ * @param alternates HTTP addresses of fallback nodes, those in other availability zones first
+ * @param ttlSeconds time for which the caller may cache the assignment
+ * @param generation current manifest generation
+ * @param ticket names the journal that owns new programs and the minute of issue; required to start programs
  */
 public record EntryAdvice(String address, List<String> alternates, int ttlSeconds, long generation, String ticket) {}
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/Incarnation.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/Incarnation.java
@@ -25,8 +25,8 @@
 import org.parsleydrift.node.peer.PeerMessage;
 
 /**
- * One life of a node: a name, a journal, the programs in it. It ends when the process does, or when another node seals
- * its journal; the process then begins the next one. Confined to the node's loop.
+ * One incarnation of a node: a unique name, a journal, and the programs recorded in it. It ends with the process or
+ * when another node seals its journal; the process then starts the next incarnation. Confined to the node's event loop.
  */
 final class Incarnation {
     private static final Logger LOG = System.getLogger(Incarnation.class.getName());
@@ -55,10 +55,10 @@
     private boolean handedOver;
 
     /**
-     * Begins a life.
+     * Creates the incarnation and starts its registration.
      *
-     * @param onSealed told each node whose journal is found sealed
-     * @param onOver told when this incarnation is over
+     * @param onSealed called with the record of each other node whose journal has been sealed
+     * @param onOver called once, after this incarnation has lost its journal without draining
      */
     Incarnation(
             NodeEnvironment environment,
@@ -127,14 +127,14 @@
                 record -> environment.links().reset(record.link()));
     }
 
-    /** The other nodes whose journals are open. */
+    /** Returns the other nodes whose journals are not sealed. */
     List<NodeRecord> peers() {
         return registry.records().values().stream()
                 .filter(record -> !record.over() && !record.incarnation().equals(name))
                 .toList();
     }
 
-    /** The nodes that take new work, this one among them unless it drains. */
+    /** Returns the live nodes that accept new work, including this one unless it is draining. */
     List<NodeRecord> takers() {
         return registry.records().values().stream()
                 .filter(record -> !record.over()
@@ -177,7 +177,7 @@
         registry.refresh().exceptionally(failure -> null);
     }
 
-    /** Whether this node, of all that take work, is the one to look after something. */
+    /** Returns whether rendezvous hashing over the nodes that accept work assigns the subject to this node. */
     boolean leads(String subject) {
         LongHashFunction hash = LongHashFunction.xx3();
         return takers().stream()
@@ -188,9 +188,9 @@
     }
 
     /**
-     * Hands all programs over: takes no new steps, waits for those under way, seals its own journal.
+     * Hands all programs over: starts no further steps, waits for the running ones, then seals its own journal.
      *
-     * @return completes when the successors own the programs, or at once if there is nobody to take them
+     * @return completes when the journal is sealed, or without a seal if no other node accepts work
      */
     CompletableFuture<Void> drain() {
         draining = true;
@@ -304,8 +304,8 @@
     }
 
     /**
-     * Spaces this node's journal writes so that the whole fleet stays within its share of the platform's write rate.
-     * Each node counts the others by itself, so no one has to hand out shares.
+     * Sets the commit interval so that all nodes together stay within the platform's write rate. Each node derives its
+     * part from the number of peers, so no coordination is needed.
      */
     private void shareWriteRate() {
         NodeSettings.Timings timings = settings.timings();
@@ -343,8 +343,8 @@
     }
 
     /**
-     * Another node sealed the journal while this one was paused or cut off, or this one handed its programs over.
-     * Going on with them would run each twice. After a drain the name lives on, to forward what callers still ask here.
+     * Stops all programs after the journal has been sealed, by another node or by this node's own drain: their new
+     * owners run them from now on. After a drain the incarnation stays registered in order to forward open requests.
      */
     private void end() {
         if (over || handedOver) {
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
@@ -35,8 +35,8 @@
 import org.parsleydrift.program.ProgramState;
 
 /**
- * A node: the facade that the daemon, tests and benches use. All methods are called on the node's loop
- * (docs/ARCHITECTURE.md).
+ * Entry point of the node module: accepts caller requests and peer messages, and restarts the node under a new
+ * incarnation when its journal is sealed. All methods must be called on the node's event loop (docs/ARCHITECTURE.md).
  */
 public final class Node {
     private static final Logger LOG = System.getLogger(Node.class.getName());
@@ -61,10 +61,10 @@
     private long watchedVersion;
 
     /**
-     * Makes a node and begins its first life.
+     * Creates a node and starts its first incarnation.
      *
-     * @param environment the outside
-     * @param settings identity and timings
+     * @param environment event loop, clients, random source and metrics
+     * @param settings identity, addresses and timings
      */
     public Node(NodeEnvironment environment, NodeSettings settings) {
         this.environment = environment;
@@ -88,31 +88,31 @@
     }
 
     /**
-     * Names link addresses to ask for the manifest while the platform can't tell who the peers are.
+     * Sets the peers to request the manifest from while the platform is unavailable and no manifest is known.
      *
-     * @param addresses link addresses
+     * @param addresses link addresses, as {@code host:port}
      */
     public void seedPeers(List<String> addresses) {
         seedPeers = List.copyOf(addresses);
     }
 
     /**
-     * Serves a caller's request.
+     * Routes a caller's request to the owner of its program.
      *
      * @param request the request
-     * @param sink receives the replies
-     * @return ends the interest in further replies
+     * @param sink receives the replies on the event loop
+     * @return cancels the delivery of further replies
      */
     public Runnable open(CallerRequest request, ReplySink sink) {
         return gateway.open(request, sink);
     }
 
     /**
-     * Calls a plain service whose calls may be repeated; any node can do that, and nothing is kept.
+     * Calls a service whose calls are idempotent. Any node can make such a call; nothing is written to the journal.
      *
-     * @param service the service
-     * @param body what to send
-     * @return how it ended
+     * @param service the service's name in the manifest
+     * @param body the request body
+     * @return the result; fails with a {@link StepException} if the manifest has no repeatable service of that name
      */
     public CompletableFuture<CallEnd> callRepeatable(String service, String body) {
         OperationSpec spec = manifest.manifest().services().get(service);
@@ -125,39 +125,39 @@
     }
 
     /**
-     * The manifest in force and its keeper.
+     * Returns the manifest manager of this node.
      *
-     * @return the keeper
+     * @return the manager, shared by all incarnations of this node
      */
     public ManifestKeeper manifest() {
         return manifest;
     }
 
     /**
-     * Accepts a manifest and tells it to all nodes.
+     * Submits a manifest. Once the platform has stored it, it is broadcast to all peers.
      *
      * @param text the manifest
-     * @param expected the generation that the operator saw, or -1 for any
-     * @return the version in force then
+     * @param expected the generation that it replaces, or -1 for any
+     * @return the stored version; fails with a {@link StepException} if the generation differs from the expected one
      */
     public CompletableFuture<ManifestVersion> submitManifest(String text, long expected) {
         return manifest.submit(text, expected);
     }
 
     /**
-     * Whether this node serves: it is registered, knows a manifest, and does not drain.
+     * Returns whether this node serves callers.
      *
-     * @return true if it is ready
+     * @return true if it is registered, has a manifest, and is not draining
      */
     public boolean ready() {
         return incarnation.active() && manifest.version() != null && !draining;
     }
 
     /**
-     * Tells a caller which address to use.
+     * Assigns an entry node to a caller, chosen at random among the nodes that accept new work.
      *
      * @param team the caller's team
-     * @return the advice, or empty if no node takes new work
+     * @return the assignment, or empty if no node accepts new work or no manifest is known
      */
     public Optional<EntryAdvice> entry(String team) {
         List<NodeRecord> takers = incarnation.active() ? incarnation.takers() : List.of();
@@ -187,9 +187,9 @@
     }
 
     /**
-     * What this node says of itself.
+     * Returns a snapshot of this node's state.
      *
-     * @return its status
+     * @return the status, including how this node sees its peers
      */
     public NodeStatus status() {
         Map<ProgramId, ProgramState> states = incarnation.host().states();
@@ -215,28 +215,28 @@
     }
 
     /**
-     * The programs that this node owns.
+     * Returns the programs that this node owns.
      *
-     * @return states by id, ended ones among them
+     * @return states by id, including programs that ended within the retention period
      */
     public Map<ProgramId, ProgramState> programs() {
         return incarnation.host().states();
     }
 
     /**
-     * Whether this node owns a program that is under way.
+     * Returns whether this node owns a program that has not ended.
      *
      * @param id the program
-     * @return true if it does
+     * @return false if the program has ended, is unknown, or belongs to another node
      */
     public boolean running(ProgramId id) {
         return incarnation.host().running(id);
     }
 
     /**
-     * Takes a message of a peer.
+     * Handles a message from a peer. Messages to other incarnations are dropped, except for the exchange of manifests.
      *
-     * @param envelope the message
+     * @param envelope the message with its sender and receiver
      */
     public void receive(PeerEnvelope envelope) {
         PeerMessage message = envelope.message();
@@ -281,7 +281,7 @@
     }
 
     /**
-     * Hands all programs over and waits until no caller waits here.
+     * Hands all programs over to other nodes and waits until no caller request is open.
      *
      * @return completes when the process may exit
      */
@@ -387,7 +387,7 @@
                         loop);
     }
 
-    /** One node of each zone waits on the platform for the next manifest; a waiting watch costs a call. */
+    /** Long-polls the platform for the next manifest. Only one node of each zone does so, to limit platform calls. */
     private void watchManifest() {
         if (!incarnation.active() || !watchesForZone()) {
             loop.schedule(WATCH_RETRY, this::watchManifest);
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/NodeEnvironment.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/NodeEnvironment.java
@@ -9,15 +9,15 @@
 import org.parsleydrift.node.peer.PeerLinks;
 
 /**
- * All that a node meets of the outside; sockets in the daemon, fakes in tests.
+ * External dependencies of a node: network clients in the daemon, simulated ones in tests.
  *
- * @param loop the node's loop
- * @param store the platform
- * @param engines model engines
- * @param calls tools and plain services
- * @param links other nodes
- * @param random chance, seeded in tests
- * @param meters metrics
+ * @param loop the event loop that the node is confined to
+ * @param store object store of the platform
+ * @param engines client of the model engines
+ * @param calls client of tools and services
+ * @param links connections to peers
+ * @param random source of randomness, seeded in tests
+ * @param meters metrics registry
  */
 public record NodeEnvironment(
         EventLoop loop,
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/NodeSettings.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/NodeSettings.java
@@ -5,29 +5,29 @@
 /**
  * Identity and timings of a node.
  *
- * @param vm the VM's name, the start of its incarnations' names
- * @param zone its availability zone
- * @param http the address that callers reach it at
- * @param link the address that peers reach it at
- * @param timings how long it waits for what
+ * @param vm name of the VM, used as the prefix of incarnation names
+ * @param zone availability zone
+ * @param http address for callers
+ * @param link address for peers
+ * @param timings intervals, timeouts and rate limits
  */
 public record NodeSettings(String vm, String zone, String http, String link, Timings timings) {
     /**
-     * How long a node waits for what.
+     * Intervals, timeouts and rate limits of a node.
      *
      * @param heartbeat time between heartbeats to a peer
-     * @param suspectAfter silence of a peer after which others are asked about it
-     * @param probeWait how long to wait for their answers
+     * @param suspectAfter time without a message from a peer after which it is suspected and probed through others
+     * @param probeWait time to wait for probe answers before a suspected peer's journal is sealed
      * @param registryPoll time between reads of the node records
-     * @param commitInterval least time between two journal writes
-     * @param platformWritesPerSecond journal writes of the whole fleet; each node takes an equal share
-     * @param platformTimeout after this time an answer of the platform counts as lost
-     * @param outageAfter a journal write unanswered for this long means that new work is refused
-     * @param stall a pause of the loop of this length makes the node check that it still owns its journal
-     * @param requestLimit a request that can't reach its owner for this long gets its final answer
-     * @param answerRetention how long ended programs stay readable
-     * @param ticketLife how long a ticket starts new work
-     * @param drainLimit the longest a drain waits for steps under way
+     * @param commitInterval minimum time between two journal writes
+     * @param platformWritesPerSecond journal writes per second of all nodes together, split evenly among them
+     * @param platformTimeout timeout of a platform request
+     * @param outageAfter new work is refused once a journal write has been unanswered for this long
+     * @param stall pause of the event loop after which the node verifies that it still owns its journal
+     * @param requestLimit time without a reachable owner after which a request is refused
+     * @param answerRetention time for which ended programs stay readable
+     * @param ticketLife time for which a ticket is accepted for new work
+     * @param drainLimit maximum time for which a drain waits for running steps
      */
     public record Timings(
             Duration heartbeat,
@@ -44,7 +44,7 @@
             Duration ticketLife,
             Duration drainLimit) {
         /**
-         * Timings that suit nine nodes in three zones a few milliseconds apart.
+         * Returns the default timings, for a cluster with round-trip times of a few milliseconds between zones.
          *
          * @return the defaults
          */
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/NodeStatus.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/NodeStatus.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * What a node says of itself.
+ * Snapshot of a node's state, reported to operators.
  *
- * @param node its incarnation
- * @param zone its availability zone
- * @param ready whether it serves
- * @param draining whether it takes no new work
- * @param generation the manifest generation in force
- * @param programs programs under way
- * @param ended programs that are over and still readable
- * @param journal the number of its last journal segment
- * @param peers the other nodes, with what this one thinks of them
+ * @param node name of the incarnation
+ * @param zone availability zone
+ * @param ready whether the node serves callers
+ * @param draining whether the node is handing its programs over
+ * @param generation current manifest generation, 0 if no manifest is known
+ * @param programs number of programs that have not ended
+ * @param ended number of ended programs within the retention period
+ * @param journal sequence number of the last journal segment
+ * @param peers the other nodes as this node sees them
  */
 public record NodeStatus(
         String node,
@@ -26,13 +26,13 @@
         long journal,
         List<PeerStatus> peers) {
     /**
-     * What a node thinks of a peer.
+     * A peer as the reporting node sees it.
      *
-     * @param node its incarnation
-     * @param http where callers reach it
-     * @param zone its availability zone
-     * @param heard whether it was heard lately
-     * @param draining whether it takes no new work
+     * @param node name of the peer's incarnation
+     * @param http the peer's address for callers
+     * @param zone the peer's availability zone
+     * @param heard whether a message from the peer arrived within the suspect timeout
+     * @param draining whether the peer is handing its programs over
      */
     public record PeerStatus(String node, String http, String zone, boolean heard, boolean draining) {}
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/RunnerSweep.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/RunnerSweep.java
@@ -12,8 +12,8 @@
 import org.parsleydrift.program.ProgramId;
 
 /**
- * Frees engine memory of programs that are gone. A node that dies leaves what it held on the engines; one of the others
- * compares each engine's list with the programs and frees the rest. Confined to the node's loop.
+ * Releases engine memory that a failed node left behind. For each runner, one responsible node compares the engine's
+ * allocations with the existing programs and releases the orphaned ones. Confined to the node's event loop.
  */
 final class RunnerSweep {
     private static final Logger LOG = System.getLogger(RunnerSweep.class.getName());
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/call/CallEnd.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/call/CallEnd.java
@@ -3,9 +3,9 @@
 import org.parsleydrift.program.CallOutcome;
 
 /**
- * How a call ended.
+ * Result of a call.
  *
- * @param outcome what may be concluded
- * @param answer the upstream's answer, or what went wrong
+ * @param outcome how the call ended
+ * @param answer the upstream's response, or the reason of the failure
  */
 public record CallEnd(CallOutcome outcome, String answer) {}
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/call/CallRunner.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/call/CallRunner.java
@@ -19,16 +19,16 @@
 import org.parsleydrift.program.CallOutcome;
 
 /**
- * Makes calls of tools and plain services: a limit per operation, timeouts, and attempts as the operation allows.
- * Confined to the node's loop.
+ * Calls tools and services, with a concurrency limit, a timeout and a number of attempts for each operation. Confined
+ * to the node's event loop.
  *
- * <p>A non-repeatable call is tried again only if the attempt before did not run: no connection was made, or the
- * upstream says so. After anything else its outcome is unknown and it is not sent again.
+ * <p>A non-repeatable call is retried only if the previous attempt certainly did not run: no connection was made, or
+ * the upstream refused it. After any other failure its outcome is unknown and it is not sent again.
  */
 public final class CallRunner {
     private static final Logger LOG = System.getLogger(CallRunner.class.getName());
     private static final Duration BACKOFF = Duration.ofMillis(100);
-    /** An upstream that says itself that it is leaving may have been restarted; after this time it is tried again. */
+    /** An upstream that announced its shutdown may have been restarted by then. */
     private static final Duration BELIEVE_REFUSAL = Duration.ofSeconds(5);
 
     private static final int QUEUE_FACTOR = 8;
@@ -40,9 +40,9 @@
     private final Map<String, Long> leaving = new HashMap<>();
 
     /**
-     * Makes a runner of calls.
+     * Creates an executor.
      *
-     * @param environment the outside
+     * @param environment event loop, clients and random source
      */
     public CallRunner(NodeEnvironment environment) {
         this.environment = environment;
@@ -50,9 +50,9 @@
     }
 
     /**
-     * Notes that an upstream is leaving, or is not.
+     * Records whether an upstream is leaving. Leaving upstreams are used only if all upstreams of an operation are.
      *
-     * @param address the upstream
+     * @param address address of the upstream
      * @param now whether it is leaving
      */
     public void leaving(String address, boolean now) {
@@ -64,12 +64,13 @@
     }
 
     /**
-     * Makes a call.
+     * Makes a call, after waiting for a free slot of the operation if needed.
      *
-     * @param spec the operation
+     * @param spec limits, timeout and upstreams of the operation
      * @param request the call
-     * @param gate stands before each attempt
-     * @return how it ended; completes on the node's loop and never fails
+     * @param gate permits or denies each attempt
+     * @return the result, {@link CallOutcome#NOT_RUN} if too many calls are queued; completes on the event loop, never
+     *     exceptionally
      */
     public CompletableFuture<CallEnd> run(OperationSpec spec, CallRequest request, EffectGate gate) {
         CompletableFuture<CallEnd> end = new CompletableFuture<>();
@@ -173,7 +174,7 @@
         end.complete(result);
     }
 
-    /** An attempt of a call. */
+    /** One attempt of a call, numbered from 1. */
     private record Attempt(OperationSpec spec, CallRequest request, EffectGate gate, int number) {
         private Attempt next() {
             return new Attempt(spec, request, gate, number + 1);
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/call/EffectGate.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/call/EffectGate.java
@@ -1,16 +1,16 @@
 package org.parsleydrift.node.call;
 
-/** Stands before each attempt of a call that has effects: lets it pass while the caller's right to make it holds. */
+/** Permits an attempt of a call with side effects only while this node owns the program that makes it. */
 @FunctionalInterface
 public interface EffectGate {
-    /** Lets every attempt pass; for calls that may be repeated by anybody. */
+    /** Permits every attempt; for calls that belong to no program. */
     EffectGate OPEN = (attempt, dropped) -> attempt.run();
 
     /**
-     * Runs one of two tasks, now or later.
+     * Runs one of two tasks, immediately or after a check of the ownership.
      *
-     * @param attempt what to do if the right holds
-     * @param dropped what to do if it is lost
+     * @param attempt run if the effect is permitted
+     * @param dropped run if ownership has been lost
      */
     void pass(Runnable attempt, Runnable dropped);
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/CallerGateway.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/CallerGateway.java
@@ -16,8 +16,8 @@
 import org.parsleydrift.node.peer.PeerMessage;
 
 /**
- * Takes callers' requests to the owners of their programs, here or on another node, and looks again for the owner
- * whenever it changes. All requests are idempotent by their keys, so asking again is safe. Confined to the node's loop.
+ * Routes caller requests to the owners of their programs, locally or on a peer, and retries when ownership moves.
+ * Requests are idempotent by key, so a retry is safe. Confined to the node's event loop.
  */
 public final class CallerGateway {
     private static final Logger LOG = System.getLogger(CallerGateway.class.getName());
@@ -35,11 +35,11 @@
     private long nextNumber;
 
     /**
-     * Makes a gateway.
+     * Creates a gateway.
      *
-     * @param loop the node's loop
-     * @param timings limits
-     * @param routes the ways to owners; empty while this node has none
+     * @param loop the node's event loop
+     * @param timings timeouts
+     * @param routes supplies the routes to owners; empty while this node is not registered
      */
     public CallerGateway(EventLoop loop, NodeSettings.Timings timings, Supplier<Optional<OwnerRoutes>> routes) {
         this.loop = loop;
@@ -49,11 +49,11 @@
     }
 
     /**
-     * Serves a request that a caller made to this node.
+     * Opens a request that a caller made to this node.
      *
      * @param request the request
-     * @param sink receives the replies, never Moved
-     * @return ends the interest in further replies
+     * @param sink receives the replies, never {@link CallerReply.Moved}
+     * @return cancels the request
      */
     public Runnable open(CallerRequest request, ReplySink sink) {
         OpenRequest opened = new OpenRequest(request, sink);
@@ -63,19 +63,19 @@
     }
 
     /**
-     * Requests that callers of this node wait for.
+     * Returns the number of open requests of callers connected to this node.
      *
-     * @return their number
+     * @return 0 or more
      */
     public int waiting() {
         return open.size();
     }
 
     /**
-     * Serves a request that a peer forwards.
+     * Handles a request forwarded by a peer. Replies {@link CallerReply.Moved} if this node does not own the program.
      *
      * @param from the peer
-     * @param forward the request
+     * @param forward the request with the peer's number for it
      */
     public void forward(NodeRecord from, PeerMessage.Forward forward) {
         Served serving = new Served(from, forward.number());
@@ -89,10 +89,10 @@
     }
 
     /**
-     * Ends the interest of a peer in a request.
+     * Cancels a request forwarded by a peer. Unknown numbers are ignored.
      *
      * @param from the peer
-     * @param number the peer's number of it
+     * @param number the peer's number for the request
      */
     public void forwardCancel(NodeRecord from, long number) {
         Served serving = served.remove(from.incarnation() + "/" + number);
@@ -102,9 +102,9 @@
     }
 
     /**
-     * Takes a reply to a request that this node forwarded.
+     * Handles a reply to a request that this node forwarded. Replies to requests no longer open are ignored.
      *
-     * @param message the reply
+     * @param message the reply with this node's number for the request
      */
     public void forwardReply(PeerMessage.ForwardReply message) {
         OpenRequest request = forwarded.get(message.number());
@@ -114,9 +114,9 @@
     }
 
     /**
-     * Looks again for the owners of requests that went to a node that is over.
+     * Retries the open requests whose target is a node with a sealed journal.
      *
-     * @param incarnation the node
+     * @param incarnation the node's incarnation
      */
     public void lost(String incarnation) {
         List.copyOf(open).stream()
@@ -246,7 +246,7 @@
         }
 
         private void refreshOrRefuse(OwnerRoutes ways, String owner) {
-            // Sought anew for this owner and with this life's records: what an earlier read did not hold says nothing.
+            // An owner is unknown only if a read begun after this lookup, by this incarnation, did not find it.
             String sought = ways.self() + " " + owner;
             if (soughtAnew.equals(sought)) {
                 take(new CallerReply.Refused(
@@ -263,7 +263,9 @@
                             loop);
         }
 
-        /** The request as it stands now: read on from the offset reached, and no longer a first try once handed on. */
+        /**
+         * Returns the request for the next attempt: resumed at the current offset and marked as a repeat if it is one.
+         */
         private CallerRequest present() {
             boolean again = handed;
             handed = true;
@@ -279,7 +281,7 @@
 
         private void forwardedReply(PeerMessage.ForwardReply message) {
             if (message.order() != expectedOrder) {
-                // A reply was lost with its connection: what follows would leave a hole in the answer.
+                // A reply was lost with its connection; delivering this one would leave a gap in the answer.
                 retryNow();
                 return;
             }
@@ -313,7 +315,7 @@
         private void check() {
             long now = loop.clock().nanos();
             if (number >= 0 && now - lastReplyNanos > SILENCE_LIMIT.toNanos()) {
-                // The link or the owner fell silent. A new connection and a new look for the owner tell which.
+                // Either the connection or the owner has failed: reset the connection and look up the owner again.
                 routes.get().ifPresent(ways -> ways.registry().find(target).ifPresent(ways.reset()));
                 retryNow();
             }
@@ -326,9 +328,9 @@
             }
         }
 
-        /** Gives the final answer at once; the caller is told when to come back rather than kept waiting. */
+        /** Refuses the request with a retry delay instead of holding the connection until an owner is reachable. */
         private void giveUp() {
-            // Only the owner can say "not run": another node may have taken an earlier try of this request to it.
+            // Only the owner can report NOT_RUN: an earlier attempt through another node may have reached it.
             take(new CallerReply.Refused(
                     RefusalKind.OUTCOME_UNKNOWN,
                     Step.FORWARD,
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/CallerReply.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/CallerReply.java
@@ -8,7 +8,7 @@
 import org.parsleydrift.program.ProgramEnd;
 import org.parsleydrift.program.ProgramId;
 
-/** What comes back for a {@link CallerRequest}: any number of outputs, then one final reply. */
+/** Reply to a {@link CallerRequest}. A request gets any number of intermediate replies, then one final reply. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "r")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = CallerReply.Accepted.class, name = "ok"),
@@ -23,76 +23,76 @@
 })
 public sealed interface CallerReply {
     /**
-     * Whether nothing follows.
+     * Returns whether this is the final reply to its request.
      *
-     * @return true for the last reply to a request
+     * @return false for output, rewind and progress
      */
     default boolean last() {
         return !(this instanceof Output || this instanceof Rewind || this instanceof Progress);
     }
 
     /**
-     * It is durable.
+     * The request is durable in the owner's journal.
      *
      * @param id the program
-     * @param generation the manifest it runs under
+     * @param generation manifest generation that the program runs under
      */
     record Accepted(ProgramId id, long generation) implements CallerReply {}
 
     /**
-     * A piece of the answer.
+     * Part of the answer.
      *
-     * @param offset characters before it
-     * @param text the piece
+     * @param offset position of the text in the answer, in characters
+     * @param text the part
      */
     record Output(long offset, String text) implements CallerReply {}
 
     /**
-     * What was sent past an offset does not hold: a turn was lost and runs again.
+     * The output after an offset is void, since the turn that produced it failed and runs again.
      *
-     * @param offset characters that hold
+     * @param offset number of characters that stay valid
      */
     record Rewind(long offset) implements CallerReply {}
 
     /**
-     * The answer is whole.
+     * The program has ended and its answer is complete.
      *
-     * @param end why the program is over
-     * @param detail the reason
-     * @param length characters of the whole answer
+     * @param end how the program ended
+     * @param detail explanation of the end for people; may be empty
+     * @param length length of the complete answer in characters
      */
     record Ended(ProgramEnd end, String detail, long length) implements CallerReply {}
 
     /**
-     * The answer of a plain call.
+     * Result of a service call outside an agent program.
      *
-     * @param outcome how it ended
-     * @param body the upstream's answer, or what went wrong
+     * @param outcome how the call ended
+     * @param body the upstream's response, or the reason of the failure
      */
     record Answer(CallOutcome outcome, String body) implements CallerReply {}
 
     /**
-     * Where a program is and why.
+     * Diagnostic state of a program.
      *
-     * @param facts names and values
+     * @param facts values by name, in display order
      */
     record Explained(SequencedMap<String, String> facts) implements CallerReply {}
 
     /**
-     * A refusal or an error.
+     * The request was refused or failed.
      *
-     * @param kind what the caller may conclude
-     * @param step where it arose
-     * @param peer the other side
-     * @param message what happened
-     * @param retryAfterMillis when to come back; 0 for never
+     * @param kind what the caller may conclude about the request's effects
+     * @param step processing step that failed
+     * @param peer the other party of that step
+     * @param message explanation for people
+     * @param retryAfterMillis delay before a retry; 0 if a retry does not help
      */
     record Refused(RefusalKind kind, Step step, String peer, String message, long retryAfterMillis)
             implements CallerReply {}
 
-    /** Another node owns it now, or this one does not own it yet: ask again. Never reaches a caller. */
+    /** The receiver does not own the program, or not yet: the entry node must retry. Never sent to a caller. */
     record Moved() implements CallerReply {}
 
-    /** The owner is alive and has nothing new. Never reaches a caller. */
+    /** Keep-alive from the owner or entry node while there is nothing to report. */
     record Progress() implements CallerReply {}
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/CallerRequest.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/CallerRequest.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import org.parsleydrift.program.ProgramId;
 
-/** What a caller asks, as it travels from the node that took the connection to the program's owner. */
+/** Request of a caller, forwarded from the node that accepted the connection to the program's owner. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "q")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = CallerRequest.Start.class, name = "start"),
@@ -16,58 +16,58 @@
 })
 public sealed interface CallerRequest {
     /**
-     * The program or plain call concerned.
+     * Returns the id of the program or service call that the request is about.
      *
-     * @return its id
+     * @return the id, which determines the owner
      */
     ProgramId id();
 
     /**
-     * Start a program. A repeat finds the program that the first one started.
+     * Starts a program. A repeated request is answered with the program that already exists.
      *
-     * @param id its id
-     * @param agent its kind
-     * @param prompt its first input
-     * @param first whether it was never handed to an owner before, by this caller or by any node
+     * @param id id of the new program
+     * @param agent name of the agent in the manifest
+     * @param prompt initial input
+     * @param first true if no attempt of this request can have reached an owner before
      */
     record Start(ProgramId id, String agent, String prompt, boolean first) implements CallerRequest {}
 
     /**
-     * Send a message to a program under way. A repeat with the same key is the same message.
+     * Sends a message to a running program. Messages with the same key are delivered once.
      *
      * @param id the program
-     * @param key the caller's key of the message
+     * @param key idempotency key of the message
      * @param text the message
      */
     record Send(ProgramId id, String key, String text) implements CallerRequest {}
 
     /**
-     * Read the answer from an offset, as it comes.
+     * Streams the answer from an offset.
      *
      * @param id the program
-     * @param offset characters already read
+     * @param offset number of characters that the caller already has
      */
     record Attach(ProgramId id, long offset) implements CallerRequest {}
 
     /**
-     * Cancel a program.
+     * Cancels a program. Has no effect on a program that has ended.
      *
      * @param id the program
      */
     record Cancel(ProgramId id) implements CallerRequest {}
 
     /**
-     * Call a plain service whose calls may not be repeated. A repeat gets the first one's answer.
+     * Calls a service whose calls are not idempotent. A repeated request gets the answer of the first call.
      *
-     * @param id the call
-     * @param service the service
-     * @param body what to send
-     * @param first whether it was never handed to an owner before, by this caller or by any node
+     * @param id id of the call
+     * @param service name of the service in the manifest
+     * @param body the request body
+     * @param first true if no attempt of this request can have reached an owner before
      */
     record CallService(ProgramId id, String service, String body, boolean first) implements CallerRequest {}
 
     /**
-     * Tell where a program is and why.
+     * Asks for the diagnostic state of a program.
      *
      * @param id the program
      */
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/OwnerRoutes.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/OwnerRoutes.java
@@ -9,14 +9,14 @@
 import org.parsleydrift.node.peer.PeerMessage;
 
 /**
- * The ways from this node to the owners of programs.
+ * What an incarnation needs to reach the owners of programs.
  *
- * @param self this incarnation
- * @param directory who owns what
- * @param host the programs here
- * @param registry the other nodes
+ * @param self name of this incarnation
+ * @param directory finds the owner of a program
+ * @param host serves the programs that this incarnation owns
+ * @param registry records of all nodes
  * @param send sends a message to a node
- * @param reset makes the next message to a node open a new connection
+ * @param reset closes the connection to a node, so that the next message opens a new one
  */
 public record OwnerRoutes(
         String self,
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/RefusalKind.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/RefusalKind.java
@@ -1,15 +1,15 @@
 package org.parsleydrift.node.caller;
 
-/** Why a request was not served. */
+/** Reason why a request was refused. */
 public enum RefusalKind {
-    /** Nothing was made durable and nothing outside was asked: it did not run, and will not. */
+    /** Nothing was written and no upstream was called: the request did not run and will not run. */
     NOT_RUN,
-    /** It may have been accepted; the same request with the same key is safe to make again. */
+    /** The request may have been accepted; it is safe to retry with the same key. */
     OUTCOME_UNKNOWN,
-    /** The ticket or the answer is too old. */
+    /** The ticket has expired. */
     EXPIRED,
-    /** The request makes no sense; making it again does not help. */
+    /** The request is invalid; a retry fails in the same way. */
     BAD_REQUEST,
-    /** There is no such program. */
+    /** The owner has no program with this id. */
     UNKNOWN_PROGRAM
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/ReplySink.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/ReplySink.java
@@ -1,12 +1,12 @@
 package org.parsleydrift.node.caller;
 
-/** Receives the replies to one request, on the node's loop. */
+/** Receives the replies to one request on the node's event loop. */
 @FunctionalInterface
 public interface ReplySink {
     /**
-     * Takes a reply.
+     * Receives a reply.
      *
-     * @param reply the reply; nothing follows one that is {@link CallerReply#last()}
+     * @param reply the reply; a reply that is {@link CallerReply#last()} is the final one
      */
     void reply(CallerReply reply);
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdmissionDoor.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdmissionDoor.java
@@ -11,11 +11,11 @@
 import org.parsleydrift.program.ProgramId;
 
 /**
- * Decides whether new work is taken. Confined to the node's loop.
+ * Admission control for new programs and service calls. Confined to the node's event loop.
  *
- * <p>A node that can't reach the platform may have lost its journal to a successor, which may have taken an earlier try
- * of the same request. So "not run" is said of a first try only: then no other can exist. A caller that asks again is
- * told that the outcome is unknown.
+ * <p>A node that cannot reach the platform may have lost its journal to a successor, which may have accepted an earlier
+ * attempt of the same request. Only a first attempt is therefore refused as {@link RefusalKind#NOT_RUN}; a repeated one
+ * is refused as {@link RefusalKind#OUTCOME_UNKNOWN}.
  */
 final class AdmissionDoor {
     private static final long RETRY_MILLIS = 2000;
@@ -33,7 +33,7 @@
         this.manifest = manifest;
     }
 
-    /** The refusal of a start, or empty if it may go on. */
+    /** Returns the refusal of a start request, or empty if it is admitted. */
     Optional<CallerReply.Refused> refusal(ProgramId id, boolean firstTry) {
         long ageMinutes = loop.clock().instant().getEpochSecond() / SECONDS_PER_MINUTE - id.issued();
         if (ageMinutes > timings.ticketLife().toMinutes()) {
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdoptionMarks.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdoptionMarks.java
@@ -7,7 +7,10 @@
 import org.parsleydrift.journal.JournalWriter;
 import org.parsleydrift.kernel.codec.MessagePackCodec;
 
-/** Marks of shares taken in, kept in the journal until the node record tells of them. Confined to the node's loop. */
+/**
+ * Adoption markers in this node's journal. A marker must stay in the journal until the node record shows the share as
+ * adopted. Confined to the node's event loop.
+ */
 final class AdoptionMarks {
     private final JournalWriter journal;
     private final Map<String, Long> writtenFrom = new HashMap<>();
@@ -16,7 +19,7 @@
         this.journal = journal;
     }
 
-    /** Keeps the journal from here on, since a mark is about to follow. */
+    /** Retains the journal from the next segment on for a marker that is about to be written. */
     void expect(String share) {
         writtenFrom.put(share, journal.sequence() + 1);
     }
@@ -38,7 +41,7 @@
                 .forEach(mark -> write(mark.getKey()));
     }
 
-    /** The lowest segment on which a mark rests. */
+    /** Returns the lowest segment that a marker needs, or {@code Long.MAX_VALUE} if there is none. */
     long oldestNeeded() {
         return writtenFrom.values().stream().mapToLong(each -> each).min().orElse(Long.MAX_VALUE);
     }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Attachment.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Attachment.java
@@ -3,7 +3,7 @@
 import org.parsleydrift.node.caller.CallerReply;
 import org.parsleydrift.node.caller.ReplySink;
 
-/** A caller that reads a program's answer. Keeps its own offset, so each character is sent once and in order. */
+/** A caller attached to a program's answer. Tracks the offset sent so far, so each character is sent once, in order. */
 final class Attachment {
     private final ReplySink sink;
     private long offset;
@@ -14,7 +14,7 @@
         this.offset = offset;
     }
 
-    /** Sends what the caller lacks of the answer; takes back what does not hold. */
+    /** Sends the part of the answer after the offset, or rewinds the caller if the answer has become shorter. */
     void show(String answer) {
         if (closed) {
             return;
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Sends one new piece to a caller that has all before it. */
+    /** Sends new text to a caller that has all text before it. */
     void append(String piece) {
         if (!closed) {
             sink.reply(new CallerReply.Output(offset, piece));
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/FreshProofGate.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/FreshProofGate.java
@@ -7,10 +7,9 @@
 import org.parsleydrift.node.call.EffectGate;
 
 /**
- * Lets an effect pass only on a proof of ownership that is fresh: a write to the journal that began a short while ago.
- * A successor waits for longer than that while ({@link ProgramHost#holdBack}), so a call that the former owner still
- * sends runs before whatever the successor does next. Without this a call of an early turn was seen to run after calls
- * of later ones. Confined to the node's loop.
+ * Permits effects only under a lease: for a limited time after the start of the last durable journal write. A successor
+ * waits until the lease has expired ({@link ProgramHost#holdBack}), so a late call of the former owner cannot run after
+ * the calls of its successor. Confined to the node's event loop.
  */
 final class FreshProofGate implements EffectGate {
     private final EffectGate guard;
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/JournalCompactor.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/JournalCompactor.java
@@ -6,8 +6,8 @@
 import org.parsleydrift.node.NodeEnvironment;
 
 /**
- * Bounds the journal: writes the states of programs whose oldest record lies far back again, and deletes the segments
- * that nothing rests on any more. A takeover reads no more than these. Confined to the node's loop.
+ * Bounds the length of the journal, and so the time of a takeover: rewrites programs that still need old segments, and
+ * deletes the segments that nothing references. Confined to the node's event loop.
  */
 public final class JournalCompactor {
     private static final Duration PERIOD = Duration.ofSeconds(2);
@@ -22,12 +22,12 @@
     private boolean stopped;
 
     /**
-     * Makes a compactor that is not yet at work.
+     * Creates a compactor that is idle until {@link #begin()}.
      *
-     * @param environment the outside
-     * @param incarnation the journal's owner
+     * @param environment gives access to the event loop and the platform
+     * @param incarnation the incarnation that writes the journal
      * @param journal the journal
-     * @param host the programs in it
+     * @param host the programs recorded in the journal
      */
     public JournalCompactor(NodeEnvironment environment, String incarnation, JournalWriter journal, ProgramHost host) {
         this.environment = environment;
@@ -36,12 +36,12 @@
         this.host = host;
     }
 
-    /** Begins to look after the journal. */
+    /** Starts periodic compaction. */
     public void begin() {
         environment.loop().schedule(PERIOD, this::run);
     }
 
-    /** Ends it. */
+    /** Stops compaction before its next run. */
     public void stop() {
         stopped = true;
     }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/JournalRecord.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/JournalRecord.java
@@ -19,39 +19,38 @@
 })
 public sealed interface JournalRecord {
     /**
-     * Something happened to a program.
+     * An event of a program.
      *
      * @param id the program
-     * @param event what happened
+     * @param event the event
      */
     record OfProgram(ProgramId id, ProgramEvent event) implements JournalRecord {}
 
     /**
-     * A piece of an agent's history. The pieces of a program come before the {@link ProgramEvent.Restored} that they
-     * belong to: until that one is durable the older records stay in force, so no crash between the pieces can shorten
-     * a history.
+     * A part of an agent's history. The parts precede the {@link ProgramEvent.Restored} or {@link TakenIn} record that
+     * they belong to. Older records stay valid until that record is durable, so a crash in between loses no history.
      *
      * @param id the program
-     * @param path the agent
-     * @param entries the piece
+     * @param path path of the agent within the program
+     * @param entries consecutive history entries
      */
     record HistoryPart(ProgramId id, String path, List<HistoryEntry> entries) implements JournalRecord {}
 
     /**
-     * A program of a share that is being taken in; it counts only once {@link Adopted} follows.
+     * State of a program in a share that is being adopted; ignored unless {@link Adopted} follows.
      *
-     * @param share the share
-     * @param state the program's state, histories apart
+     * @param share text of the share's id
+     * @param state the program's state without histories
      */
     record TakenIn(String share, ProgramState state) implements JournalRecord {}
 
     /**
-     * All programs of a share are durable in this journal.
+     * Adoption marker: all programs of a share precede it in this journal.
      *
-     * @param share the share
+     * @param share text of the share's id
      */
     record Adopted(String share) implements JournalRecord {}
 
-    /** Nothing; written to learn whether the journal still belongs to this node. */
+    /** Empty record, written to verify that the journal is not sealed. */
     record Probe() implements JournalRecord {}
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/JournalReplay.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/JournalReplay.java
@@ -16,7 +16,7 @@
 import org.parsleydrift.program.ProgramMachine;
 import org.parsleydrift.program.ProgramState;
 
-/** Programs as a journal tells them. */
+/** Reconstructs the programs recorded in a journal. */
 public final class JournalReplay {
     private final Map<ProgramId, ProgramState> programs = new LinkedHashMap<>();
     private final Set<String> adopted = new HashSet<>();
@@ -26,8 +26,8 @@
     /**
      * Replays a journal.
      *
-     * @param segments its segments in order
-     * @return what it tells
+     * @param segments segments in order, from the base of the journal
+     * @return the programs and adopted shares
      */
     public static JournalReplay of(List<Segment> segments) {
         JournalReplay replay = new JournalReplay();
@@ -39,18 +39,18 @@
     }
 
     /**
-     * The programs.
+     * Returns the programs recorded in the journal.
      *
-     * @return states by id
+     * @return states by id, in the order of their first records
      */
     public Map<ProgramId, ProgramState> programs() {
         return programs;
     }
 
     /**
-     * Shares of other journals that this one holds.
+     * Returns the shares of other journals that were adopted in this one.
      *
-     * @return the marks found
+     * @return texts of the shares' ids
      */
     public Set<String> adopted() {
         return adopted;
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/LiveProgram.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/LiveProgram.java
@@ -12,7 +12,7 @@
 import org.parsleydrift.program.ProgramMachine;
 import org.parsleydrift.program.ProgramState;
 
-/** A program on its owner: its state, and what is under way for it. Confined to the node's loop. */
+/** A program on its owner: its state, running steps and attached callers. Confined to the node's event loop. */
 final class LiveProgram {
     private ProgramState state;
     private BudgetLedger ledger;
@@ -38,7 +38,7 @@
         return state;
     }
 
-    /** Applies an event that was handed to the journal as the given entry. */
+    /** Applies an event that was appended to the journal as the given entry. */
     void apply(ProgramEvent event, JournalEntry entry) {
         state = ProgramMachine.apply(state, event);
         lastEntry = entry;
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Completes when all that happened to the program so far is durable. */
+    /** Completes when all events of the program so far are durable. */
     CompletableFuture<Void> durable() {
         return lastEntry == null ? CompletableFuture.completedFuture(null) : lastEntry.durable();
     }
@@ -89,12 +89,12 @@
         return provisional;
     }
 
-    /** Characters of the answer in ended turns. */
+    /** Returns the length of the answer up to the last completed turn, in characters. */
     long answerLength() {
         return answerLength;
     }
 
-    /** The answer with what the turn under way has said so far. */
+    /** Returns the answer including the output of the running turn. */
     String shown() {
         return state.answer() + provisional;
     }
@@ -111,7 +111,7 @@
         return attempts++;
     }
 
-    /** The number of the oldest journal segment that this program's state rests on. */
+    /** Returns the oldest journal segment that is needed to reconstruct this program. */
     long oldestNeeded() {
         return oldestNeeded;
     }
@@ -120,7 +120,7 @@
         oldestNeeded = sequence;
     }
 
-    /** Whether its state is on its way into the journal again. */
+    /** Returns whether the state is being rewritten to the journal. */
     boolean rewriting() {
         return rewriting;
     }
@@ -129,7 +129,7 @@
         rewriting = now;
     }
 
-    /** No step begins before this time of the loop's clock. */
+    /** Returns the time before which no step may start, on the event loop's monotonic clock. */
     long heldUntilNanos() {
         return heldUntilNanos;
     }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/PauseGuard.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/PauseGuard.java
@@ -9,9 +9,9 @@
 import org.parsleydrift.node.call.EffectGate;
 
 /**
- * Notices that this node was paused, and holds back effects until it is known to own its journal still. A node that was
- * paused for seconds may have a successor that has long gone on; what the paused one then did first would come late and
- * out of order. It shows as a call of an earlier turn that runs after one of a later turn. Confined to the node's loop.
+ * Detects pauses of this node, such as a frozen VM, and delays effects after a pause until the node has verified that
+ * it still owns its journal. Otherwise a node whose successor is already running could make a stale call of an earlier
+ * turn after the successor's calls. Confined to the node's event loop.
  */
 final class PauseGuard implements EffectGate {
     private static final Duration TICK = Duration.ofMillis(100);
@@ -25,11 +25,10 @@
     private boolean stopped;
 
     /**
-     * Makes a guard.
+     * Creates a guard and starts its periodic check.
      *
-     * @param loop the node's loop
-     * @param stall a pause of this length counts
-     * @param verify writes to the journal; completes when this node is known to own it
+     * @param stall pauses longer than this require a verification
+     * @param verify writes to the journal; completes when the write is durable
      */
     PauseGuard(EventLoop loop, Duration stall, Supplier<CompletableFuture<Void>> verify) {
         this.loop = loop;
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/PlainCalls.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/PlainCalls.java
@@ -5,7 +5,7 @@
 import org.parsleydrift.program.HistoryEntry;
 import org.parsleydrift.program.ProgramState;
 
-/** Plain calls that run at most once are kept as programs of one call; this reads their answers. */
+/** Reads the results of non-repeatable service calls of callers, which are recorded as programs of a single call. */
 final class PlainCalls {
     private static final int PARTS = 3;
 
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramFacts.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramFacts.java
@@ -4,7 +4,7 @@
 import java.util.SequencedMap;
 import org.parsleydrift.program.ProgramState;
 
-/** What an operator or caller is told who asks why a program is where it is. */
+/** Collects the diagnostic state of a program for operators and callers. */
 final class ProgramFacts {
     private ProgramFacts() {}
 
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramHost.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramHost.java
@@ -33,7 +33,7 @@
 import org.parsleydrift.program.ProgramMachine;
 import org.parsleydrift.program.ProgramState;
 
-/** The programs that this incarnation owns. Confined to the node's loop. */
+/** Runs the programs that this incarnation owns and records them in its journal. Confined to the node's event loop. */
 public final class ProgramHost {
     private static final Logger LOG = System.getLogger(ProgramHost.class.getName());
     private static final long OUTAGE_RETRY_MILLIS = 2000;
@@ -54,13 +54,13 @@
     private boolean draining;
 
     /**
-     * Makes an empty host.
+     * Creates a host without programs.
      *
-     * @param environment the outside
-     * @param timings limits
+     * @param environment event loop, metrics and random source
+     * @param timings timeouts and retention periods
      * @param journal this incarnation's journal
-     * @param manifest the manifest in force
-     * @param upstreams where steps are carried out
+     * @param manifest the current manifest
+     * @param upstreams execute the turns and calls of programs
      */
     public ProgramHost(
             NodeEnvironment environment,
@@ -81,11 +81,11 @@
     }
 
     /**
-     * Serves a request about a program that this node owns.
+     * Handles a request about a program that this node owns. Replies {@link CallerReply.Moved} after {@link #stop()}.
      *
      * @param request the request
      * @param sink receives the replies
-     * @return ends the interest in further replies
+     * @return cancels the delivery of further replies
      */
     public Runnable handle(CallerRequest request, ReplySink sink) {
         if (stopped) {
@@ -103,11 +103,11 @@
     }
 
     /**
-     * Writes the programs of a share, and a mark behind them. They do not run before {@link #resume}.
+     * Writes the programs of a share, followed by an adoption marker. They do not run until {@link #resume}.
      *
-     * @param share the share
-     * @param states its programs
-     * @return completes when all are durable; fails if this journal is sealed
+     * @param share text of the share's id
+     * @param states states of its programs
+     * @return completes when the marker is durable; fails if this journal is sealed
      */
     public CompletableFuture<Void> takeIn(String share, List<ProgramState> states) {
         marks.expect(share);
@@ -116,9 +116,9 @@
     }
 
     /**
-     * Goes on with programs that were taken in durably.
+     * Resumes programs whose adoption is durable.
      *
-     * @param states their states
+     * @param states states of the programs
      */
     public void resume(List<ProgramState> states) {
         states.forEach(state -> {
@@ -137,36 +137,36 @@
     }
 
     /**
-     * Stops keeping a mark: the node record tells that the share is here.
+     * Stops retaining an adoption marker, once the node record shows the share as adopted.
      *
-     * @param share the share
+     * @param share text of the share's id
      */
     public void forgetMark(String share) {
         marks.forget(share);
     }
 
-    /** Writes an empty record, to learn whether the journal still belongs to this incarnation. */
+    /** Verifies by a journal write that the journal is not sealed. */
     CompletableFuture<Void> verifyOwnership() {
         return journal.append(MessagePackCodec.encode(new JournalRecord.Probe()))
                 .durable();
     }
 
-    /** Begins no further step and no further program; what is under way goes on to its end. */
+    /** Starts no further steps; running steps complete. */
     public void drain() {
         draining = true;
     }
 
     /**
-     * Whether nothing is under way and all is durable.
+     * Returns whether no step is running and all records are durable.
      *
-     * @return true if the journal can be sealed without cutting a step
+     * @return true if the journal can be sealed without interrupting a step
      */
     public boolean quiet() {
         return journal.idle()
                 && programs.values().stream().allMatch(live -> live.running().isEmpty());
     }
 
-    /** Ends all activity: another node owns the programs now. Callers are told to look for it. */
+    /** Stops all programs, since another node owns them now, and replies {@link CallerReply.Moved} to their callers. */
     public void stop() {
         stopped = true;
         guard.stop();
@@ -179,9 +179,9 @@
     }
 
     /**
-     * The programs here.
+     * Returns the programs of this host.
      *
-     * @return states by id, ended ones among them
+     * @return states by id, including programs that ended within the retention period
      */
     public Map<ProgramId, ProgramState> states() {
         Map<ProgramId, ProgramState> states = new HashMap<>();
@@ -190,21 +190,17 @@
     }
 
     /**
-     * Whether a program is here and not over.
+     * Returns whether this host has a program that has not ended.
      *
      * @param id the program
-     * @return true if it is under way
+     * @return false if the program has ended or is unknown
      */
     public boolean running(ProgramId id) {
         LiveProgram live = programs.get(id);
         return live != null && !live.state().over();
     }
 
-    /**
-     * Writes again whatever rests on segments below a number.
-     *
-     * @param sequence the number
-     */
+    /** Rewrites the programs and markers that need segments below the given sequence number. */
     void rewriteOlderThan(long sequence) {
         programs.values().stream()
                 .filter(live -> live.oldestNeeded() < sequence)
@@ -214,7 +210,7 @@
         marks.rewriteOlderThan(sequence);
     }
 
-    /** The lowest segment on which a program or a mark rests. */
+    /** Returns the lowest segment that a program or an adoption marker needs. */
     long oldestNeeded() {
         long programsFrom = programs.values().stream()
                 .mapToLong(LiveProgram::oldestNeeded)
@@ -243,7 +239,7 @@
         return !stopped && programs.get(live.state().id()) == live;
     }
 
-    /** Hands an event to the journal and applies it. */
+    /** Appends an event to the journal and applies it. */
     JournalEntry record(LiveProgram live, ProgramEvent event) {
         ProgramId id = live.state().id();
         boolean wasOver = live.state().over();
@@ -256,19 +252,19 @@
         return entry;
     }
 
-    /** Stands before effects outside: they wait after a pause until this node is known to own its programs. */
+    /** Returns the gate for repeatable calls, which delays them after a pause until ownership is verified. */
     EffectGate gate() {
         return guard;
     }
 
-    /** Stands before effects that must not come late, behind those of a successor. */
+    /** Returns the gate for effects that must not follow those of a successor. */
     EffectGate strictGate() {
         return strictGate;
     }
 
     /**
-     * Lets a program wait whose former owner may still send a call: its proof of ownership is good for the platform's
-     * timeout, and a pause shorter than the guard notices may come on top.
+     * Delays a program until its former owner can no longer make a call: its lease lasts for the platform timeout, plus
+     * a pause too short to be detected.
      */
     void holdBack(LiveProgram live) {
         Duration wait = timings.platformTimeout().plus(timings.stall());
@@ -276,7 +272,7 @@
         loop.schedule(wait.plusMillis(1), () -> advance(live));
     }
 
-    /** Begins whatever the program needs next and is not under way. */
+    /** Starts the next steps of a program that are not running yet. */
     void advance(LiveProgram live) {
         Runnable begin = () -> {
             if (active(live) && !draining && loop.clock().nanos() >= live.heldUntilNanos()) {
@@ -360,8 +356,8 @@
     }
 
     /**
-     * Replies once all that happened to the program is durable. If the platform does not answer in time the record may
-     * be durable or may yet become so: nobody can know, and the caller is told so.
+     * Replies once all events of the program are durable. If the platform does not answer in time, the events may still
+     * become durable, so the request is refused with an unknown outcome.
      */
     private Runnable whenAccepted(LiveProgram live, ReplySink sink, Runnable reply) {
         boolean[] replied = {false};
@@ -435,8 +431,8 @@
     }
 
     /**
-     * Acts on a program that is here. "Unknown" is said only on a fresh proof of ownership: a node that was cut off may
-     * have lost its journal to a successor that knows the program well.
+     * Applies an action to a program of this host. An unknown program is refused only under a lease, since a
+     * partitioned node may have lost its journal to a successor that has the program.
      */
     private Runnable known(CallerRequest request, ReplySink sink, Function<LiveProgram, Runnable> act) {
         LiveProgram live = programs.get(request.id());
@@ -469,7 +465,7 @@
         forgetLater(live);
     }
 
-    /** Tells callers the end only once it is durable: a successor could otherwise come to another one. */
+    /** Notifies callers of the end once it is durable; before that, a successor could reach a different end. */
     private void tellEnd(LiveProgram live) {
         if (!live.state().over() || !live.isDurable() || live.durable().isCompletedExceptionally()) {
             return;
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Refusals.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Refusals.java
@@ -6,7 +6,7 @@
 import org.parsleydrift.node.caller.ReplySink;
 import org.parsleydrift.program.ProgramId;
 
-/** The refusals that a host gives in more than one place. */
+/** Factory methods for common refusals. */
 final class Refusals {
     private Refusals() {}
 
@@ -22,7 +22,7 @@
         return new CallerReply.Refused(RefusalKind.UNKNOWN_PROGRAM, Step.ADMIT, "self", "no program " + id, 0);
     }
 
-    /** Gives a refusal; there is nothing to end afterwards. */
+    /** Sends a refusal. Returns a cancellation without effect, since no further replies follow. */
     static Runnable refuse(ReplySink sink, CallerReply.Refused refusal) {
         sink.reply(refusal);
         return () -> {};
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Snapshots.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Snapshots.java
@@ -9,20 +9,20 @@
 import org.parsleydrift.program.ProgramEvent;
 import org.parsleydrift.program.ProgramState;
 
-/** Writes whole program states into a journal, in pieces that fit a segment. */
+/** Writes complete program states to a journal, with histories split into chunks that fit a segment. */
 final class Snapshots {
     private static final int PIECE_CHARACTERS = 128 * 1024;
 
     private Snapshots() {}
 
-    /** Writes the state of a program of this journal again. */
+    /** Rewrites the state of a program that this journal already contains. */
     static void append(JournalWriter journal, LiveProgram live) {
         ProgramState bare = appendHistories(journal, live.state());
         live.journaled(journal.append(
                 MessagePackCodec.encode(new JournalRecord.OfProgram(bare.id(), new ProgramEvent.Restored(bare)))));
     }
 
-    /** Writes the state of a program of a share that is being taken in. */
+    /** Writes the state of a program in a share that is being adopted. */
     static void appendTakenIn(JournalWriter journal, String share, ProgramState state) {
         ProgramState bare = appendHistories(journal, state);
         journal.append(MessagePackCodec.encode(new JournalRecord.TakenIn(share, bare)));
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/StepRunner.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/StepRunner.java
@@ -29,13 +29,15 @@
 import org.parsleydrift.program.ProgramState;
 import org.parsleydrift.program.ProgramStep;
 
-/** Carries out the steps of programs. Confined to the node's loop. */
+/** Executes the steps of programs. Confined to the node's event loop. */
 final class StepRunner {
     private static final Logger LOG = System.getLogger(StepRunner.class.getName());
     private static final LoopTimer NOTHING = () -> {};
     private static final Duration BACKOFF = Duration.ofMillis(100);
     private static final int MAX_BACKOFF_SHIFT = 5;
-    /** One turn may run while the one before it is not durable yet; a lost owner loses two turns at most. */
+    /**
+     * A turn starts while at most this many earlier ones are not durable, which limits the work lost with the owner.
+     */
     private static final int MAX_UNDURABLE_TURNS = 1;
 
     private final NodeEnvironment environment;
@@ -65,10 +67,9 @@
     }
 
     /**
-     * Settles what the former owner may have left half done. A non-idempotent call with an intent and no outcome may
-     * have run: sending it again could double its effect, so its outcome is unknown. Turns that the former owner may
-     * have begun are charged as if they had used all they could, or a program that loses its owner again and again
-     * would outspend its budget.
+     * Settles the steps that the former owner may have left unfinished. A non-idempotent call with an intent but no
+     * outcome may have run, so it is not repeated and its outcome is recorded as unknown. Turns that may have been
+     * running are charged their maximum, so that repeated failures of owners cannot exceed the program's budget.
      */
     void settleLost(LiveProgram live) {
         heads(live.state()).filter(PendingAction::intended).toList().forEach(pending -> {
@@ -160,7 +161,7 @@
         live.succeeded();
         if (step.path().equals(ProgramState.ROOT)
                 && !live.provisional().toString().equals(result.text())) {
-            // The client lost or doubled a piece on the way. The result is whole; what was shown is taken back.
+            // Streamed text was lost or duplicated in transit: replace it by the text of the complete result.
             live.attachments().forEach(each -> each.rewind(live.answerLength()));
             live.attachments().forEach(each -> each.append(result.text()));
         }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Upstreams.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Upstreams.java
@@ -4,9 +4,9 @@
 import org.parsleydrift.node.placement.RunnerPool;
 
 /**
- * Where the steps of programs are carried out.
+ * Executors for the steps of programs.
  *
- * @param runners model engines
- * @param calls tools and plain services
+ * @param runners places turns on model engines
+ * @param calls calls tools and services
  */
 public record Upstreams(RunnerPool runners, CallRunner calls) {}
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/manifest/ManifestInForce.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/manifest/ManifestInForce.java
@@ -3,19 +3,19 @@
 import org.parsleydrift.manifest.Manifest;
 import org.parsleydrift.manifest.ManifestVersion;
 
-/** The manifest in force on this node. */
+/** Read access to the current manifest of this node. */
 public interface ManifestInForce {
     /**
-     * The manifest with its generation.
+     * Returns the current manifest as text with its generation.
      *
-     * @return the version, or null before the first
+     * @return the version, or null if no manifest is known
      */
     ManifestVersion version();
 
     /**
-     * The manifest as read.
+     * Returns the current manifest in parsed form.
      *
-     * @return the manifest; an empty one before the first
+     * @return the manifest, or an empty one if none is known
      */
     Manifest manifest();
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/manifest/ManifestKeeper.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/manifest/ManifestKeeper.java
@@ -21,11 +21,11 @@
 import org.parsleydrift.manifest.ManifestVersion;
 
 /**
- * Keeps the manifest in force: one object on the platform, changed by conditional update; a node never goes back to a
- * lower generation (docs/design/manifest.md). Confined to the node's loop.
+ * Holds the current manifest. The platform stores it in one object, changed by conditional update; a node never reverts
+ * to a lower generation (docs/design/manifest.md). Confined to the node's event loop.
  */
 public final class ManifestKeeper implements ManifestInForce {
-    /** The object's name on the platform. */
+    /** Key of the manifest object on the platform. */
     public static final String KEY = "manifest/current";
 
     private static final Logger LOG = System.getLogger(ManifestKeeper.class.getName());
@@ -42,12 +42,12 @@
     private boolean known;
 
     /**
-     * Makes a keeper with no manifest.
+     * Creates a manager without a manifest.
      *
-     * @param loop the node's loop
-     * @param store the platform
-     * @param timeout how long to wait for the platform
-     * @param onChange told each manifest that comes into force
+     * @param loop the node's event loop
+     * @param store object store of the platform
+     * @param timeout timeout of a platform request
+     * @param onChange called with each manifest that becomes current
      */
     public ManifestKeeper(EventLoop loop, ObjectStore store, Duration timeout, Consumer<Manifest> onChange) {
         this.loop = loop;
@@ -67,30 +67,30 @@
     }
 
     /**
-     * The generation in force.
+     * Returns the generation of the current manifest.
      *
-     * @return the generation, 0 before the first
+     * @return the generation, or 0 if no manifest is known
      */
     public long generation() {
         return version == null ? 0 : version.generation();
     }
 
     /**
-     * Whether this node knows which manifest is in force, or that there is none. Until then it must own no program: it
-     * would end those that come to it, since it knows none of their agents.
+     * Returns whether this node knows the current manifest or that none exists. Until then it must not own programs: it
+     * would end them, since their agents are missing from the empty manifest.
      *
-     * @return true after the first answer of the platform or of a peer
+     * @return true after the first answer from the platform, or a manifest from a peer if the platform is unavailable
      */
     public boolean known() {
         return known;
     }
 
     /**
-     * Takes a manifest that a peer tells. Until the platform has answered or failed to, it is only noted: a peer may lag
-     * behind what this VM's former process had in force already, and the platform does not.
+     * Handles a manifest sent by a peer. It is not activated before the first platform request has been answered or has
+     * failed: the peer may have an older generation than this VM's previous process already used.
      *
-     * @param found the manifest
-     * @param peer the peer
+     * @param found the peer's manifest
+     * @param peer the peer's incarnation, for the log
      */
     public void offerFromPeer(ManifestVersion found, String peer) {
         if (known || platformSilent) {
@@ -100,7 +100,7 @@
         }
     }
 
-    /** The platform does not answer: what peers tell is the best there is. */
+    /** Records that the platform did not answer, and activates the newest manifest that a peer has sent. */
     public void platformSilent() {
         platformSilent = true;
         if (noted != null) {
@@ -109,11 +109,12 @@
     }
 
     /**
-     * Puts a manifest into force unless it is no newer than the present one.
+     * Makes a manifest the current one if its generation is higher.
      *
      * @param found the manifest
-     * @param source where it came from, for the log
-     * @return true if it is in force now and was not before
+     * @param source where it was obtained, for the log
+     * @return true if it replaced the previous manifest
+     * @throws StepException if the text is not a valid manifest
      */
     public boolean offer(ManifestVersion found, String source) {
         if (found.generation() <= generation()) {
@@ -134,9 +135,9 @@
     }
 
     /**
-     * Reads the platform's manifest and puts it into force if it is newer.
+     * Reads the manifest from the platform and activates it if its generation is higher.
      *
-     * @return completes with true if a newer one came into force
+     * @return completes with true if the current manifest changed; fails if the platform does not answer
      */
     public CompletableFuture<Boolean> refresh() {
         return bounded(store.read(KEY))
@@ -150,11 +151,12 @@
     }
 
     /**
-     * Accepts a manifest, whole or not at all.
+     * Validates a manifest, stores it on the platform and activates it.
      *
      * @param text the manifest
-     * @param expected the generation that the operator saw, or -1 for any
-     * @return the version in force then; fails with a {@link StepException} that says what stands against it
+     * @param expected the generation that it replaces, or -1 for any
+     * @return the stored version; fails with a {@link StepException} if another generation was stored first
+     * @throws StepException if the text is not a valid manifest
      */
     public CompletableFuture<ManifestVersion> submit(String text, long expected) {
         ManifestParser.parse("manifest", text);
@@ -190,8 +192,8 @@
     }
 
     /**
-     * After a conflict or a lost answer, reads what is there. The update may have taken effect although its answer was
-     * lost: telling the operator that it failed would then be wrong.
+     * Reads the manifest back after a conflict or a lost answer, since an update whose answer was lost may have taken
+     * effect.
      */
     private CompletableFuture<ManifestVersion> confirm(ManifestVersion mine, Throwable failure) {
         if (StoreException.of(failure) == StoreFailure.REFUSED) {
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/FailureDetector.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/FailureDetector.java
@@ -19,8 +19,9 @@
 import org.parsleydrift.node.peer.PeerMessage;
 
 /**
- * Hears heartbeats, and finds nodes that nobody hears. Suspicion is local and changes nothing; only a seal does
- * (docs/design/membership.md). Confined to the node's loop.
+ * Detects failed nodes by missing heartbeats and by probes through other watchers. A suspicion is local and has no
+ * effect by itself; a node counts as failed once its journal is sealed (docs/design/membership.md). Confined to the
+ * node's event loop.
  */
 public final class FailureDetector {
     private static final Logger LOG = System.getLogger(FailureDetector.class.getName());
@@ -45,16 +46,16 @@
     private boolean stopped;
 
     /**
-     * Makes a detector.
+     * Creates a detector and starts its heartbeats.
      *
-     * @param loop the node's loop
+     * @param loop the node's event loop
      * @param selfRecord this node's record
-     * @param timings heartbeat period and limits
-     * @param unsealed the other nodes whose journals are not sealed
+     * @param timings heartbeat interval and timeouts
+     * @param unsealed supplies the other nodes whose journals are not sealed
      * @param send sends a message to a node
-     * @param generation the manifest generation to tell in heartbeats
-     * @param onDead told a node that nobody hears and whose journal this node should seal; told again until sealed
-     * @param onSilent told a node that fell silent, so that a new connection is tried
+     * @param generation supplies the manifest generation announced in heartbeats
+     * @param onDead called with a failed node whose journal this node should seal; repeated until it is sealed
+     * @param onSilent called with a newly suspected node, so that a new connection to it is tried
      */
     public FailureDetector(
             EventLoop loop,
@@ -79,15 +80,15 @@
         check();
     }
 
-    /** Ends the heartbeats. */
+    /** Stops heartbeats and checks. */
     public void stop() {
         stopped = true;
     }
 
     /**
-     * Notes a sign of life.
+     * Records a message from a node. Any message counts as a heartbeat.
      *
-     * @param incarnation the node that sent something
+     * @param incarnation the sender
      */
     public void heard(String incarnation) {
         heardNanos.put(incarnation, loop.clock().nanos());
@@ -95,10 +96,10 @@
     }
 
     /**
-     * Notes that a peer hears a node itself. This is kept apart from what this node hears: if it counted as hearing, two
-     * nodes that ask each other would keep a dead one alive between them for ever.
+     * Records that a peer considers a node alive. Kept apart from this node's own heartbeats: otherwise two watchers
+     * that probe each other would keep confirming a failed node.
      *
-     * @param incarnation the node that the peer hears
+     * @param incarnation the node that was probed
      */
     public void vouched(String incarnation) {
         vouchedNanos.put(incarnation, loop.clock().nanos());
@@ -106,10 +107,10 @@
     }
 
     /**
-     * Whether a node was heard lately by this node itself.
+     * Returns whether this node itself has received a message from a node within the suspect timeout.
      *
      * @param incarnation the node
-     * @return true if it is not suspect
+     * @return true for live nodes, for this node, and for nodes not asked about before
      */
     public boolean hears(String incarnation) {
         return incarnation.equals(self)
@@ -117,10 +118,10 @@
     }
 
     /**
-     * Whether this node watches another.
+     * Returns whether this node is a watcher of another one.
      *
      * @param incarnation the other node
-     * @return true if it gets the other one's heartbeats
+     * @return true if the other node sends its heartbeats to this one
      */
     public boolean watches(String incarnation) {
         return watched.contains(incarnation);
@@ -136,7 +137,7 @@
         loop.schedule(timings.heartbeat(), this::beat);
     }
 
-    /** Finds its neighbours. A node newly watched counts as heard now: what it sent went to others until now. */
+    /** Updates the neighbours. A newly watched node counts as alive: its earlier heartbeats went to other watchers. */
     private void standOnRing() {
         ring = HeartbeatRing.of(selfRecord, unsealed.get());
         Set<String> now =
@@ -151,8 +152,8 @@
         }
         long now = loop.clock().nanos();
         if (now - lastCheckNanos > timings.suspectAfter().toNanos() / 2) {
-            // This node was paused. What it did not hear meanwhile says nothing about its peers: judging them now
-            // would seal the journals of a healthy fleet.
+            // This node was paused and received no messages. Counting the pause as missed heartbeats would seal the
+            // journals of healthy nodes.
             heardNanos.replaceAll((peer, heard) -> now);
             suspectedNanos.clear();
         }
@@ -201,7 +202,7 @@
                 .forEach(other -> send.accept(other, new PeerMessage.Probe(peer.incarnation())));
     }
 
-    /** Orders the nodes that could seal, so that they rarely do it at once. */
+    /** Returns this node's position among the live watchers of a suspect. Delays by rank avoid concurrent seals. */
     private long rank(String suspect) {
         LongHashFunction hash = LongHashFunction.xx3();
         Comparator<String> order = Comparator.comparingLong(node -> hash.hashChars(node + suspect));
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/HeartbeatRing.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/HeartbeatRing.java
@@ -8,9 +8,9 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Who watches whom: nodes stand on a ring by the hash of their name, and each is watched by the next few. The cost of
- * heartbeats for a node so stays the same however large the fleet is; up to nine nodes everybody watches everybody. The
- * hash spreads neighbours over zones, so that a zone that goes down leaves watchers elsewhere.
+ * Consistent-hash ring that assigns watchers to nodes: each node sends its heartbeats to its successors on the ring, so
+ * the cost per node does not grow with the cluster. Hashing spreads the watchers of a node over the availability zones,
+ * so that some survive the failure of a zone.
  */
 final class HeartbeatRing {
     private static final int WATCHERS = 8;
@@ -30,12 +30,10 @@
         return new HeartbeatRing(ring);
     }
 
-    /** The nodes that watch a node. */
     List<NodeRecord> watchers(String incarnation) {
         return neighbours(incarnation, 1);
     }
 
-    /** The nodes that a node watches. */
     List<NodeRecord> watched(String incarnation) {
         return neighbours(incarnation, -1);
     }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/JournalShare.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/JournalShare.java
@@ -1,10 +1,10 @@
 package org.parsleydrift.node.membership;
 
 /**
- * A part of a sealed journal's programs, those whose id hashes to its position, and who takes it in.
+ * Partition of a sealed journal: the programs whose ids hash to its position in the node record, with their new owner.
  *
- * @param holder the incarnation that takes it in, or has
- * @param adopted true once it is durable in the holder's journal; from then on the holder's own seal, if it comes, leads
- *     on, and this journal is not read for it again
+ * @param holder the incarnation that adopts the share or has adopted it
+ * @param adopted true once the share is durable in the holder's journal; the sealed journal is no longer read for it,
+ *     and if the holder's journal is sealed as well, its shares determine the next owner
  */
 public record JournalShare(String holder, boolean adopted) {}
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/NodeRecord.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/NodeRecord.java
@@ -5,37 +5,37 @@
 import org.parsleydrift.journal.Seal;
 
 /**
- * What the platform holds about one node incarnation, in the object {@code node/INCARNATION} (docs/design/journal.md).
+ * Record of a node incarnation, stored on the platform in the object {@code node/INCARNATION} (docs/design/journal.md).
  *
- * @param incarnation its name, never used again
- * @param http where callers reach it
- * @param link where peers reach it
- * @param zone its availability zone
- * @param draining true once it takes no new work
- * @param shares the parts of its journal once that is sealed; empty while it may write
+ * @param incarnation unique name, never reused
+ * @param http address for callers
+ * @param link address for peers
+ * @param zone availability zone
+ * @param draining true once the node accepts no new work
+ * @param shares the shares of its journal, empty until the journal is sealed
  */
 public record NodeRecord(
         String incarnation, String http, String link, String zone, boolean draining, List<JournalShare> shares) {
     private static final String PREFIX = "node/";
 
-    /** Copies the list. */
+    /** Copies the list of shares; null, as in records without shares, becomes the empty list. */
     public NodeRecord {
         shares = shares == null ? List.of() : List.copyOf(shares);
     }
 
     /**
-     * The prefix of all node records.
+     * Returns the key prefix of all node records on the platform.
      *
-     * @return the prefix
+     * @return the prefix, ending in a slash
      */
     public static String prefix() {
         return PREFIX;
     }
 
     /**
-     * The name of a record on the platform.
+     * Returns the key of an incarnation's record on the platform.
      *
-     * @param incarnation the incarnation
+     * @param incarnation name of the incarnation
      * @return the key
      */
     public static String key(String incarnation) {
@@ -43,47 +43,47 @@
     }
 
     /**
-     * Whether its journal is sealed.
+     * Returns whether the incarnation's journal is sealed.
      *
-     * @return true if it may not write any more
+     * @return true if the incarnation can no longer write
      */
     public boolean over() {
         return !shares.isEmpty();
     }
 
     /**
-     * Whether all of a sealed journal is durable elsewhere.
+     * Returns whether every share of the sealed journal is durable in its holder's journal.
      *
-     * @return true if no share of it waits
+     * @return false also while the journal is not sealed
      */
     public boolean handedOver() {
         return over() && shares.stream().allMatch(JournalShare::adopted);
     }
 
     /**
-     * The share to which a program belongs.
+     * Returns the share that a program belongs to. The journal must be sealed.
      *
      * @param programText the program's id as text
-     * @return a position in {@link #shares}
+     * @return an index into {@link #shares}
      */
     public int slot(String programText) {
         return Math.floorMod(programText.hashCode(), shares.size());
     }
 
     /**
-     * The record of a node that takes no new work.
+     * Returns a copy of the record that is marked as draining.
      *
-     * @return the record after
+     * @return the copy
      */
     public NodeRecord withDraining() {
         return new NodeRecord(incarnation, http, link, zone, true, shares);
     }
 
     /**
-     * The record with its seal, unless it has one.
+     * Returns a copy with one share for each successor named in a seal.
      *
      * @param seal the seal found in the journal
-     * @return the record after
+     * @return the copy, or this record if it already has shares
      */
     public NodeRecord withSeal(Seal seal) {
         return over()
@@ -100,12 +100,12 @@
     }
 
     /**
-     * The record with a share changed, if that share is still as the caller saw it.
+     * Returns a copy with a share replaced, if it equals the expected value.
      *
-     * @param slot its position
-     * @param before what the caller saw
-     * @param after what it becomes
-     * @return the record after
+     * @param slot index of the share
+     * @param before the expected value
+     * @param after the new value
+     * @return the copy, or this record if the share differs from the expected value
      */
     public NodeRecord withShare(int slot, JournalShare before, JournalShare after) {
         if (slot >= shares.size() || !shares.get(slot).equals(before)) {
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/NodeRegistry.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/NodeRegistry.java
@@ -18,7 +18,7 @@
 import org.parsleydrift.node.NodeEnvironment;
 import org.parsleydrift.node.NodeSettings;
 
-/** This node's copy of the node records, read from the platform. Confined to the node's loop. */
+/** Local cache of the node records on the platform. Confined to the node's event loop. */
 public final class NodeRegistry {
     private static final Logger LOG = System.getLogger(NodeRegistry.class.getName());
 
@@ -31,11 +31,11 @@
     private boolean loaded;
 
     /**
-     * Makes an empty copy.
+     * Creates an empty registry.
      *
-     * @param environment the outside
-     * @param timings how long to wait for the platform
-     * @param onChange told each record that is new or changed
+     * @param environment gives access to the platform
+     * @param timings timeouts of platform requests
+     * @param onChange called with each record that is new or changed
      */
     public NodeRegistry(NodeEnvironment environment, NodeSettings.Timings timings, Consumer<NodeRecord> onChange) {
         this.environment = environment;
@@ -44,37 +44,37 @@
     }
 
     /**
-     * All records known.
+     * Returns all cached records.
      *
-     * @return records by incarnation
+     * @return the live map of records by incarnation
      */
     public Map<String, NodeRecord> records() {
         return records;
     }
 
     /**
-     * Finds a record.
+     * Finds a cached record.
      *
-     * @param incarnation the incarnation
-     * @return its record, if known
+     * @param incarnation name of the incarnation
+     * @return the record, or empty if it has not been read
      */
     public Optional<NodeRecord> find(String incarnation) {
         return Optional.ofNullable(records.get(incarnation));
     }
 
     /**
-     * Whether the records were read at least once.
+     * Returns whether all records have been read at least once.
      *
-     * @return true after the first whole read
+     * @return true after the first complete refresh
      */
     public boolean loaded() {
         return loaded;
     }
 
     /**
-     * Reads what is new. A read under way serves all who ask meanwhile.
+     * Reads new and changed records. Joins a refresh that is already running.
      *
-     * @return completes when the copy is as the platform was; fails if the platform does not answer
+     * @return completes when the records are read; fails if the platform does not answer
      */
     public CompletableFuture<Void> refresh() {
         if (refreshing == null) {
@@ -86,9 +86,10 @@
     }
 
     /**
-     * Reads what is new, beginning after this call: a read under way may have passed what the caller must not miss.
+     * Reads new and changed records in a refresh that starts after this call, since a running one may have missed the
+     * latest changes.
      *
-     * @return completes when the copy is as the platform was; fails if the platform does not answer
+     * @return completes when the records are read; fails if the platform does not answer
      */
     public CompletableFuture<Void> refreshAnew() {
         return refreshing == null
@@ -102,7 +103,7 @@
      * Creates this node's own record.
      *
      * @param record the record
-     * @return completes when the platform holds it
+     * @return completes when the platform has stored it; fails if the record exists or the platform does not answer
      */
     public CompletableFuture<Void> create(NodeRecord record) {
         String key = NodeRecord.key(record.incarnation());
@@ -111,12 +112,12 @@
     }
 
     /**
-     * Changes a record by conditional update, again after a conflict. The change must be idempotent: an answer can be
-     * lost after the update took effect.
+     * Changes a record by conditional update and retries after a conflict. The change must be idempotent, since an
+     * update may take effect although its answer is lost.
      *
-     * @param incarnation the record
-     * @param change makes the new record of the present one
-     * @return the record as it is then; fails if the platform does not answer
+     * @param incarnation name of the incarnation
+     * @param change computes the new record from the stored one; returns an equal record for no change
+     * @return the stored record after the change; fails if there is no record or the platform does not answer
      */
     public CompletableFuture<NodeRecord> change(String incarnation, UnaryOperator<NodeRecord> change) {
         String key = NodeRecord.key(incarnation);
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/ownership/OwnerDirectory.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/ownership/OwnerDirectory.java
@@ -11,10 +11,10 @@
 import org.parsleydrift.program.ProgramId;
 
 /**
- * Finds the owner of a program: the journal named in its id, or, once that is sealed, whoever took in the program's
- * share of it, and so on. The walk ends: a holder takes a share in only while its own journal is open, so each step
- * leads to a journal that was sealed later. The table has one row for each node record, none for programs. Confined to
- * the node's loop.
+ * Finds the owner of a program by following sealed journals: from the journal named in the program's id to the holder
+ * of the program's share, and so on until a journal that is not sealed. The chain is finite: a holder adopts a share
+ * only while its own journal is open, so each journal in it was sealed later than the one before. Needs no state per
+ * program. Confined to the node's event loop.
  */
 public final class OwnerDirectory {
     private final String self;
@@ -22,9 +22,9 @@
     private final Set<ShareId> adopted = new HashSet<>();
 
     /**
-     * Makes a directory.
+     * Creates a directory.
      *
-     * @param self this node's incarnation
+     * @param self name of this incarnation
      * @param registry the node records
      */
     public OwnerDirectory(String self, NodeRegistry registry) {
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Notes that a share is durable in this node's journal.
+     * Records that a share is durable in this node's journal.
      *
      * @param share the share
      */
@@ -42,31 +42,31 @@
     }
 
     /**
-     * Whether a share is durable in this node's journal.
+     * Returns whether a share is durable in this node's journal.
      *
      * @param share the share
-     * @return true if it is
+     * @return true after {@link #adopted(ShareId)}
      */
     public boolean holds(ShareId share) {
         return adopted.contains(share);
     }
 
     /**
-     * The incarnation that owns a program, or will once it has taken its share in.
+     * Returns the incarnation that owns a program or will own it after adopting its share.
      *
      * @param id the program
-     * @return the end of its chain
+     * @return the last element of the program's chain
      */
     public String owner(ProgramId id) {
         return chain(id).getLast();
     }
 
     /**
-     * Whether this node owns a program and holds what was known of it. Until then it must not say that it does not know
-     * the program: it would start it a second time.
+     * Returns whether this node owns a program and has adopted its share. Until then the node must not treat the
+     * program as unknown, which would start it a second time.
      *
      * @param id the program
-     * @return true if this node can answer for it
+     * @return true if this node can serve requests about the program
      */
     public boolean ready(ProgramId id) {
         Walk walk = walk(id);
@@ -74,10 +74,10 @@
     }
 
     /**
-     * The journals that a program went through, and its owner.
+     * Returns the journals that a program has passed through.
      *
      * @param id the program
-     * @return the journal of its id first, the owner last
+     * @return incarnations in order, from the one named in the program's id to the owner
      */
     public List<String> chain(ProgramId id) {
         return walk(id).chain;
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/ownership/ShareId.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/ownership/ShareId.java
@@ -1,10 +1,10 @@
 package org.parsleydrift.node.ownership;
 
 /**
- * Names a share of a sealed journal.
+ * Identifies a share of a sealed journal.
  *
- * @param journal the journal
- * @param slot the share's position in its node record
+ * @param journal incarnation that wrote the journal
+ * @param slot index of the share in the node record
  */
 public record ShareId(String journal, int slot) {
     @Override
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/ownership/Takeover.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/ownership/Takeover.java
@@ -26,8 +26,9 @@
 import org.parsleydrift.program.ProgramState;
 
 /**
- * Seals the journals of nodes that are gone, takes in the shares of them that are this node's, and gives shares on whose
- * holder is gone as well (docs/design/journal.md). Confined to the node's loop.
+ * Recovers the programs of failed and drained nodes: seals their journals, adopts the shares assigned to this node, and
+ * reassigns shares whose holder has failed before adopting them (docs/design/journal.md). Confined to the node's event
+ * loop.
  */
 public final class Takeover {
     private static final Logger LOG = System.getLogger(Takeover.class.getName());
@@ -45,24 +46,24 @@
     private boolean stopped;
 
     /**
-     * What a takeover needs to know of the fleet.
+     * Access to the state of the cluster.
      *
-     * @param takers incarnations that take work
-     * @param leads whether this node is the one to look after a subject
-     * @param tellChange tells the others that node records changed
+     * @param takers supplies the incarnations that accept work
+     * @param leads tests whether this node is responsible for a subject
+     * @param tellChange notifies the peers that node records changed
      */
     public record Surroundings(Supplier<List<String>> takers, Predicate<String> leads, Runnable tellChange) {}
 
     /**
-     * Makes a takeover without work.
+     * Creates a takeover that is idle until {@link #seal} or {@link #work} is called.
      *
-     * @param loop the node's loop
-     * @param self this node's incarnation
+     * @param loop the node's event loop
+     * @param self name of this incarnation
      * @param reader reads and seals journals
      * @param registry the node records
-     * @param directory who owns what
-     * @param host where programs go
-     * @param surroundings the fleet
+     * @param directory records adopted shares
+     * @param host runs the adopted programs
+     * @param surroundings state of the cluster
      */
     public Takeover(
             EventLoop loop,
@@ -81,18 +82,18 @@
         this.surroundings = surroundings;
     }
 
-    /** Ends all activity. */
+    /** Stops seals and adoptions; a running adoption no longer resumes its programs. */
     public void stop() {
         stopped = true;
     }
 
     /**
-     * Seals a journal and tells the others. Fails if the platform does not answer; whoever suspects the node tries
-     * again.
+     * Seals a journal, records the seal in the node record and notifies the peers. Does nothing if a seal of the same
+     * journal is in progress.
      *
-     * @param incarnation the journal's owner
-     * @param successors incarnations that take over, not empty
-     * @return completes when the seal is known to all who read the node records
+     * @param incarnation the incarnation that wrote the journal
+     * @param successors incarnations that adopt its programs, not empty
+     * @return completes when the node record names the seal; fails if the platform does not answer
      */
     public CompletableFuture<Void> seal(String incarnation, List<String> successors) {
         if (stopped || !sealing.add(incarnation)) {
@@ -127,7 +128,7 @@
         LOG.log(Logger.Level.WARNING, line.toString());
     }
 
-    /** Looks at all sealed journals whose shares are not all durable elsewhere, and does what falls to this node. */
+    /** Adopts, confirms or reassigns the shares of sealed journals that this node is responsible for. */
     public void work() {
         if (stopped) {
             return;
@@ -154,7 +155,7 @@
         }
     }
 
-    /** Runs work on a share unless some is under way; after a failure again in a moment. */
+    /** Runs a task unless one is in progress for the same share, then schedules the next pass over all shares. */
     private void once(ShareId id, Supplier<CompletableFuture<Void>> work) {
         if (!busy.add(id)) {
             return;
@@ -177,10 +178,10 @@
     }
 
     /**
-     * Takes a share in: reads the sealed journal, which nobody changes any more, writes the states of the share's
-     * programs into this node's journal and a mark behind them, and lets the programs go on once the mark is durable.
-     * Without the mark nothing of the share counts and nothing of it has run, so that a holder that dies half-way leaves
-     * the share as it was.
+     * Adopts a share: reads the sealed, hence immutable, journal, writes the states of the share's programs followed by
+     * an adoption marker into this node's journal, and resumes the programs once the marker is durable. States without
+     * a marker are ignored and their programs have not run, so a holder that fails in between leaves the share
+     * unchanged.
      */
     private CompletableFuture<Void> adopt(NodeRecord record, ShareId id, JournalShare share) {
         long begun = loop.clock().nanos();
@@ -228,8 +229,9 @@
     }
 
     /**
-     * Decides about a share whose holder is gone. The holder's journal is final: either the mark stands in it, and the
-     * share has been taken in, or nothing of the share ever ran there, and another node takes it.
+     * Settles a share whose holder has failed. The holder's sealed journal is final: if it contains the adoption
+     * marker, the share was adopted there; otherwise none of its programs ran there, and another node becomes the
+     * holder.
      */
     private CompletableFuture<Void> giveOn(ShareId id, JournalShare share) {
         List<String> takers = surroundings.takers().get();
@@ -259,9 +261,9 @@
     }
 
     /**
-     * Deletes what a sealed journal no longer need keep, all but its seal: a VM frozen for hours may wake and create the
-     * very number at which the seal stands, and go on with programs that others finished long ago. The marks in it are
-     * not needed either once no share of another journal waits with it.
+     * Deletes the segments of a sealed journal that are no longer needed, except its seal. The seal stays so that a VM
+     * resumed after a long pause cannot append to the journal and run finished programs again. The adoption markers are
+     * needed only while a share of another journal has this incarnation as its holder and is not adopted.
      */
     private void deleteIfHandedOver(NodeRecord record) {
         boolean marksNeeded = registry.records().values().stream()
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/peer/PeerMessage.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/peer/PeerMessage.java
@@ -6,7 +6,7 @@
 import org.parsleydrift.node.caller.CallerReply;
 import org.parsleydrift.node.caller.CallerRequest;
 
-/** What nodes tell each other over their links (docs/design/links.md). */
+/** Message between nodes (docs/design/links.md). */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "m")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = PeerMessage.Heartbeat.class, name = "beat"),
@@ -21,60 +21,60 @@
 })
 public sealed interface PeerMessage {
     /**
-     * I am alive.
+     * Heartbeat.
      *
-     * @param generation the manifest generation in force here
+     * @param generation the sender's current manifest generation
      */
     record Heartbeat(long generation) implements PeerMessage {}
 
     /**
-     * Do you hear that node?
+     * Asks whether the receiver considers a suspected node alive.
      *
-     * @param suspect the incarnation that the sender does not hear
+     * @param suspect the suspected incarnation
      */
     record Probe(String suspect) implements PeerMessage {}
 
     /**
-     * I have heard that node lately.
+     * Confirms that the sender has recently received a message from a suspected node. There is no negative answer.
      *
-     * @param suspect the incarnation asked about
+     * @param suspect the suspected incarnation
      */
     record ProbeAnswer(String suspect) implements PeerMessage {}
 
-    /** Node records changed on the platform: read them now rather than at the next poll. */
+    /** Announces that node records changed on the platform, so that the receiver reads them before its next poll. */
     record RegistryChanged() implements PeerMessage {}
 
     /**
-     * Serve this request.
+     * Forwards a caller's request to the owner of its program.
      *
-     * @param number the sender's number of it
+     * @param number the sender's number for the request
      * @param request the request
      */
     record Forward(long number, CallerRequest request) implements PeerMessage {}
 
     /**
-     * Nobody waits for that request any more.
+     * Cancels a forwarded request.
      *
-     * @param number the sender's number of it
+     * @param number the sender's number for the request
      */
     record ForwardCancel(long number) implements PeerMessage {}
 
     /**
-     * A reply to a forwarded request.
+     * Reply to a forwarded request.
      *
-     * @param number the receiver's number of the request
-     * @param order counts the replies to that request from 0, so that a lost one is noticed
+     * @param number the receiver's number for the request
+     * @param order sequence number of the reply within its request, from 0, for the detection of lost replies
      * @param reply the reply
      */
     record ForwardReply(long number, long order, CallerReply reply) implements PeerMessage {}
 
     /**
-     * The manifest in force here.
+     * Sends the sender's current manifest.
      *
      * @param version the manifest
      */
     record ManifestOffer(ManifestVersion version) implements PeerMessage {}
 
-    /** Which manifest is in force with you? */
+    /** Requests the receiver's current manifest. */
     record ManifestAsk() implements PeerMessage {}
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/PlacementPolicy.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/PlacementPolicy.java
@@ -4,32 +4,32 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Chooses a runner for a turn. A kind of policy is a record here; the set is closed so that each is measured. */
+/** Chooses a runner for a turn. */
 public sealed interface PlacementPolicy {
     /**
-     * Chooses.
+     * Chooses a runner.
      *
-     * @param promptCharacters the length of the prompt
-     * @param candidates runners that take new work
-     * @return the choice, or empty if there is none
+     * @param promptCharacters length of the prompt in characters
+     * @param candidates runners that accept new turns
+     * @return the chosen runner, which may have no free slot, or empty if there are no candidates
      */
     Optional<Candidate> choose(int promptCharacters, List<Candidate> candidates);
 
     /**
-     * A runner as the policy sees it.
+     * State of a runner as input to the policy.
      *
-     * @param address its address
-     * @param running turns that this node runs there
-     * @param slots turns that it runs at once
-     * @param warmCharacters characters of this prompt believed to be cached there
+     * @param address address of the runner
+     * @param running number of turns that this node runs there
+     * @param slots number of turns that the runner can run concurrently
+     * @param warmCharacters estimated length of the prompt's cached prefix on the runner, in characters
      */
     record Candidate(String address, int running, int slots, int warmCharacters) {}
 
     /**
-     * Weighs the wait against the prompt that must be computed again.
+     * Chooses the runner with the lowest weighted sum of load and uncached prompt length.
      *
-     * @param latencyWeight weight of the wait
-     * @param cacheWeight weight of uncached prompt
+     * @param latencyWeight weight of the load
+     * @param cacheWeight weight of the uncached prompt
      */
     record WarmthAndLoad(double latencyWeight, double cacheWeight) implements PlacementPolicy {
         private static final double CHARACTERS_PER_SLOT_WAIT = 4000;
@@ -40,11 +40,11 @@
         }
 
         /**
-         * The cost of a choice.
+         * Computes the cost of placing a turn on a runner.
          *
-         * @param promptCharacters the length of the prompt
+         * @param promptCharacters length of the prompt in characters
          * @param candidate the runner
-         * @return a number without unit, lower is better
+         * @return the cost, dimensionless; lower is better
          */
         public double cost(int promptCharacters, Candidate candidate) {
             double load = (double) candidate.running() / candidate.slots();
@@ -53,7 +53,7 @@
         }
     }
 
-    /** The fewest running turns; a baseline. */
+    /** Chooses the runner with the lowest ratio of running turns to slots. */
     record LeastLoaded() implements PlacementPolicy {
         @Override
         public Optional<Candidate> choose(int promptCharacters, List<Candidate> candidates) {
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/Runner.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/Runner.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.parsleydrift.manifest.RunnerSpec;
 
-/** What this node knows about one runner. Confined to the node's loop. */
+/** This node's view of one runner: its load, availability and cached prompts. Confined to the node's event loop. */
 final class Runner {
     private static final int WARM_ENTRIES = 4096;
 
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Gives the runner no new turn for a while, since it just failed one. */
+    /** Excludes the runner from placement until the given time and drops its cache estimates. */
     void avoidUntil(long nanos) {
         avoidUntilNanos = nanos;
         warm.clear();
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/RunnerPool.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/RunnerPool.java
@@ -26,13 +26,13 @@
 import org.parsleydrift.node.NodeEnvironment;
 
 /**
- * Places turns on runners: a queue of this node's own before them, since engines know no priorities. Confined to the
- * node's loop.
+ * Places turns on runners, oldest program first. Turns wait in a queue on this node, since engines do not support
+ * priorities. Confined to the node's event loop.
  */
 public final class RunnerPool {
     private static final Logger LOG = System.getLogger(RunnerPool.class.getName());
     private static final Duration AVOID_AFTER_FAILURE = Duration.ofSeconds(1);
-    /** An engine that says itself that it is leaving may have been restarted; after this time it is tried again. */
+    /** An engine that announced its shutdown may have been restarted by then. */
     private static final Duration BELIEVE_REFUSAL = Duration.ofSeconds(5);
 
     private final NodeEnvironment environment;
@@ -43,18 +43,18 @@
     private PlacementPolicy policy = new PlacementPolicy.LeastLoaded();
 
     /**
-     * Makes an empty pool.
+     * Creates a pool without runners.
      *
-     * @param environment the outside
+     * @param environment event loop, engine client and metrics
      */
     public RunnerPool(NodeEnvironment environment) {
         this.environment = environment;
     }
 
     /**
-     * Takes the runners and weights of a manifest.
+     * Applies the runners, models and placement weights of a manifest.
      *
-     * @param manifest the manifest now in force
+     * @param manifest the current manifest
      */
     public void configure(Manifest manifest) {
         policy = new PlacementPolicy.WarmthAndLoad(
@@ -74,9 +74,9 @@
     }
 
     /**
-     * Notes that a runner is leaving, or is not.
+     * Records whether a runner is leaving. Leaving runners get no new turns. Unknown addresses are ignored.
      *
-     * @param address the runner
+     * @param address address of the runner
      * @param leaving whether it is leaving
      */
     public void leaving(String address, boolean leaving) {
@@ -94,19 +94,19 @@
     }
 
     /**
-     * The runners that are known.
+     * Returns the addresses of all runners in the manifest.
      *
-     * @return their addresses
+     * @return a copy
      */
     public List<String> addresses() {
         return List.copyOf(runners.keySet());
     }
 
     /**
-     * Runs a turn as soon as a runner has a place for it.
+     * Queues a turn and runs it as soon as a runner has a free slot.
      *
      * @param task the turn
-     * @return cancels it, in the queue or on its engine
+     * @return cancels the turn, whether queued or running
      */
     public LoopTimer submit(TurnTask task) {
         Waiting waiting = new Waiting(task);
@@ -116,9 +116,9 @@
     }
 
     /**
-     * Frees what engines hold for a program that is over. Failures are mended by the sweep.
+     * Releases the engine memory of a program that has ended. Memory left by a failed release is found by the sweeper.
      *
-     * @param program the program's id
+     * @param program id of the program
      */
     public void release(String program) {
         Set<String> addresses = usedBy.remove(program);
@@ -132,20 +132,20 @@
     }
 
     /**
-     * Reads what an engine holds.
+     * Lists the memory that an engine holds.
      *
-     * @param address the runner
-     * @return its rows, completed on the node's loop
+     * @param address address of the runner
+     * @return the allocations with their owners, on the event loop; fails if the runner does not answer
      */
     public CompletableFuture<List<EngineMemory>> memory(String address) {
         return environment.engines().memory(address);
     }
 
     /**
-     * Frees what one engine holds for an owner, whoever put it there.
+     * Releases the memory that one engine holds for an owner, regardless of the node that allocated it.
      *
-     * @param address the runner
-     * @param owner the tag on the memory
+     * @param address address of the runner
+     * @param owner the owner tag of the memory
      */
     public void releaseAt(String address, String owner) {
         environment.engines().release(address, owner);
@@ -166,7 +166,7 @@
             Optional<Runner> choice = choose(waiting.task);
             if (choice.isPresent()) {
                 each.remove();
-                // Not now but next on the loop: an engine that fails at once would change the queue while it is read.
+                // Deferred, since a turn that fails synchronously would modify the queue during the iteration.
                 choice.get().began();
                 environment.loop().execute(() -> begin(waiting, choice.get()));
             }
@@ -272,16 +272,16 @@
     }
 
     /**
-     * Whether a failed turn can have cost tokens.
+     * Returns whether a failed turn may have consumed tokens.
      *
-     * @param failure what it failed with
-     * @return false only if the engine says that it did not run
+     * @param failure the failure
+     * @return false only if the turn certainly did not run
      */
     public static boolean mayHaveRun(Throwable failure) {
         return CallException.of(failure) != CallFailure.NOT_RUN;
     }
 
-    /** A turn in the queue or on an engine. */
+    /** A turn that is queued or running. */
     private static final class Waiting {
         private final TurnTask task;
         private LoopTimer stream;
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/TurnTask.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/TurnTask.java
@@ -6,18 +6,18 @@
 import org.parsleydrift.kernel.upstream.TurnResult;
 
 /**
- * A model turn that wants a runner.
+ * A model turn to be placed on a runner.
  *
- * @param program the program's id
- * @param path the agent
- * @param turn the number of the turn
- * @param streamId unique per attempt
- * @param model the model
- * @param prompt the history, in order
- * @param maxTokens tokens reserved for it
- * @param startedMillis when its program was accepted; the older program goes first
- * @param tokens receives the generated text on the node's loop
- * @param done receives the result or a failure on the node's loop
+ * @param program id of the program
+ * @param path path of the agent within the program
+ * @param turn number of the turn
+ * @param streamId unique id of the attempt
+ * @param model name of the model in the manifest
+ * @param prompt system prompt and history, in order
+ * @param maxTokens maximum number of output tokens
+ * @param startedMillis time at which the program was accepted, in epoch milliseconds; older programs are placed first
+ * @param tokens receives the generated text on the event loop
+ * @param done receives the result or the failure on the event loop
  */
 public record TurnTask(
         String program,
