--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/Incarnation.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/Incarnation.java
@@ -354,7 +354,7 @@
         handedOver = draining;
         LOG.log(
                 Logger.Level.WARNING,
-                LogLine.of("node_over")
+                LogLine.of("incarnation_terminated")
                         .with("node", name)
                         .with("draining", draining)
                         .toString());
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
@@ -118,7 +118,10 @@
         OperationSpec spec = manifest.manifest().services().get(service);
         if (spec == null || !spec.repeatable()) {
             return CompletableFuture.failedFuture(
-                    new StepException(Step.CALL, "caller", "no repeatable service " + service));
+                    new StepException(
+                            Step.CALL,
+                            "caller",
+                            "no repeatable service " + service + " in manifest generation " + manifest.generation()));
         }
         String callId = "plain/" + Long.toHexString(environment.random().nextLong());
         return calls.run(spec, new CallRequest(callId, service, body), EffectGate.OPEN);
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/CallerGateway.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/CallerGateway.java
@@ -250,7 +250,7 @@
             String sought = ways.self() + " " + owner;
             if (soughtAnew.equals(sought)) {
                 take(new CallerReply.Refused(
-                        RefusalKind.BAD_REQUEST, Step.FORWARD, "self", "unknown ticket " + owner, 0));
+                        RefusalKind.BAD_REQUEST, Step.FORWARD, "self", "ticket names an unknown node: " + owner, 0));
                 return;
             }
             ways.registry()
@@ -335,7 +335,7 @@
                     RefusalKind.OUTCOME_UNKNOWN,
                     Step.FORWARD,
                     String.valueOf(target),
-                    "the owner can't be reached",
+                    "no owner reachable within " + timings.requestLimit().toMillis() + " ms",
                     RETRY_AFTER_MILLIS));
         }
 
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdmissionDoor.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdmissionDoor.java
@@ -38,12 +38,21 @@
         long ageMinutes = loop.clock().instant().getEpochSecond() / SECONDS_PER_MINUTE - id.issued();
         if (ageMinutes > timings.ticketLife().toMinutes()) {
             return Optional.of(new CallerReply.Refused(
-                    RefusalKind.EXPIRED, Step.ADMIT, "self", "the ticket is too old: ask for another", 0));
+                    RefusalKind.EXPIRED,
+                    Step.ADMIT,
+                    "self",
+                    "ticket issued " + ageMinutes + " min ago has expired, limit is "
+                            + timings.ticketLife().toMinutes() + " min; request a new ticket",
+                    0));
         }
         if (journal.stalledFor().compareTo(timings.outageAfter()) > 0) {
-            return Optional.of(notNow("the platform does not answer", firstTry));
+            return Optional.of(notNow(
+                    "the platform has not answered a journal write for "
+                            + journal.stalledFor().toMillis() + " ms, limit is "
+                            + timings.outageAfter().toMillis() + " ms",
+                    firstTry));
         }
-        return manifest.version() == null ? Optional.of(notNow("no manifest is in force", firstTry)) : Optional.empty();
+        return manifest.version() == null ? Optional.of(notNow("no manifest is known", firstTry)) : Optional.empty();
     }
 
     private static CallerReply.Refused notNow(String reason, boolean firstTry) {
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramHost.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramHost.java
@@ -298,7 +298,9 @@
         ManifestVersion version = manifest.version();
         AgentSpec spec = manifest.manifest().agents().get(start.agent());
         if (spec == null || start.prompt().length() > MAX_PROMPT) {
-            String reason = spec == null ? "no agent " + start.agent() : "prompt over " + MAX_PROMPT + " characters";
+            String reason = spec == null
+                    ? "no agent " + start.agent() + " in manifest generation " + version.generation()
+                    : "prompt has " + start.prompt().length() + " characters, limit is " + MAX_PROMPT;
             return Refusals.refuse(sink, Refusals.badRequest(reason));
         }
         var started = new ProgramEvent.Started(
@@ -319,14 +321,14 @@
             boolean same = known.state().agent().equals(call.service());
             return same
                     ? attach(known, 0, sink)
-                    : Refusals.refuse(sink, Refusals.badRequest("the key was used for another request"));
+                    : Refusals.refuse(sink, Refusals.badRequest("id " + call.id() + " is used by another request"));
         }
         Optional<CallerReply.Refused> refusal = door.refusal(call.id(), call.first());
         if (refusal.isPresent()) {
             return Refusals.refuse(sink, refusal.get());
         }
         if (!manifest.manifest().services().containsKey(call.service())) {
-            return Refusals.refuse(sink, Refusals.badRequest("no service " + call.service()));
+            return Refusals.refuse(sink, Refusals.badRequest("no service " + call.service() + " in the manifest"));
         }
         var started = new ProgramEvent.CallStarted(
                 call.id(),
@@ -378,7 +380,7 @@
                         RefusalKind.OUTCOME_UNKNOWN,
                         Step.COMMIT,
                         "platform",
-                        "the platform does not answer; ask again with the same key",
+                        "the platform has not answered the journal write; retry with the same key",
                         OUTAGE_RETRY_MILLIS));
             }
         });
@@ -387,7 +389,8 @@
 
     private Runnable repeated(LiveProgram live, boolean same, ReplySink sink) {
         if (!same) {
-            return Refusals.refuse(sink, Refusals.badRequest("the key was used for another request"));
+            return Refusals.refuse(
+                    sink, Refusals.badRequest("id " + live.state().id() + " is used by another request"));
         }
         return whenAccepted(live, sink, () -> sink.reply(accepted(live)));
     }
@@ -398,7 +401,7 @@
 
     private Runnable send(LiveProgram live, CallerRequest.Send send, ReplySink sink) {
         if (live.state().over() && !live.state().messages().containsKey(send.key())) {
-            return Refusals.refuse(sink, Refusals.notRun("the program is over", 0));
+            return Refusals.refuse(sink, Refusals.notRun("program has ended: " + live.state().end(), 0));
         }
         if (!live.state().messages().containsKey(send.key())) {
             record(live, new ProgramEvent.MessageArrived(send.key(), send.text()));
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Refusals.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Refusals.java
@@ -19,7 +19,7 @@
     }
 
     static CallerReply.Refused unknown(ProgramId id) {
-        return new CallerReply.Refused(RefusalKind.UNKNOWN_PROGRAM, Step.ADMIT, "self", "no program " + id, 0);
+        return new CallerReply.Refused(RefusalKind.UNKNOWN_PROGRAM, Step.ADMIT, "self", "no program with id " + id, 0);
     }
 
     /** Sends a refusal. Returns a cancellation without effect, since no further replies follow. */
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/manifest/ManifestKeeper.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/manifest/ManifestKeeper.java
@@ -220,7 +220,7 @@
         return new StepException(
                 Step.MANIFEST,
                 "platform",
-                "not accepted: generation " + present + " came first; read it and submit again");
+                "manifest rejected: generation " + present + " is already stored; read it and submit again");
     }
 
     private static ManifestVersion decode(StoredObject object) {
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/ownership/Takeover.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/ownership/Takeover.java
@@ -248,7 +248,7 @@
                                     taken ? new JournalShare(share.holder(), true) : new JournalShare(next, false);
                             LOG.log(
                                     Logger.Level.INFO,
-                                    LogLine.of("share_given_on")
+                                    LogLine.of("share_reassigned")
                                             .with("share", id)
                                             .with("from", share.holder())
                                             .with("to", after.holder())
@@ -276,7 +276,10 @@
 
     private static void requireSealed(String journal, List<Segment> segments) {
         if (segments.isEmpty() || !segments.getLast().sealed()) {
-            throw new StepException(Step.TAKEOVER, journal, "the journal is not sealed");
+            throw new StepException(
+                    Step.TAKEOVER,
+                    journal,
+                    "expected a sealed journal, read " + segments.size() + " segments without a seal");
         }
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/RunnerPool.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/RunnerPool.java
@@ -87,7 +87,7 @@
         runner.leaving(leaving);
         LOG.log(
                 Logger.Level.INFO,
-                LogLine.of(leaving ? "runner_leaving" : "runner_back")
+                LogLine.of(leaving ? "runner_leaving" : "runner_returned")
                         .with("runner", address)
                         .toString());
         place();
