--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/EntryAdvice.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/EntryAssignment.java
@@ -11,4 +11,5 @@
  * @param generation current manifest generation
  * @param ticket names the journal that owns new programs and the minute of issue; required to start programs
  */
-public record EntryAdvice(String address, List<String> alternates, int ttlSeconds, long generation, String ticket) {}
+public record EntryAssignment(
+        String address, List<String> alternates, int ttlSeconds, long generation, String ticket) {}
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
@@ -92,7 +92,7 @@
      *
      * @param addresses link addresses, as {@code host:port}
      */
-    public void seedPeers(List<String> addresses) {
+    public void setSeedPeers(List<String> addresses) {
         seedPeers = List.copyOf(addresses);
     }
 
@@ -117,11 +117,10 @@
     public CompletableFuture<CallEnd> callRepeatable(String service, String body) {
         OperationSpec spec = manifest.manifest().services().get(service);
         if (spec == null || !spec.repeatable()) {
-            return CompletableFuture.failedFuture(
-                    new StepException(
-                            Step.CALL,
-                            "caller",
-                            "no repeatable service " + service + " in manifest generation " + manifest.generation()));
+            return CompletableFuture.failedFuture(new StepException(
+                    Step.CALL,
+                    "caller",
+                    "no repeatable service " + service + " in manifest generation " + manifest.generation()));
         }
         String callId = "plain/" + Long.toHexString(environment.random().nextLong());
         return calls.run(spec, new CallRequest(callId, service, body), EffectGate.OPEN);
@@ -152,7 +151,7 @@
      *
      * @return true if it is registered, has a manifest, and is not draining
      */
-    public boolean ready() {
+    public boolean isReady() {
         return incarnation.active() && manifest.version() != null && !draining;
     }
 
@@ -162,7 +161,7 @@
      * @param team the caller's team
      * @return the assignment, or empty if no node accepts new work or no manifest is known
      */
-    public Optional<EntryAdvice> entry(String team) {
+    public Optional<EntryAssignment> assignEntryNode(String team) {
         List<NodeRecord> takers = incarnation.active() ? incarnation.takers() : List.of();
         if (takers.isEmpty() || manifest.version() == null) {
             return Optional.empty();
@@ -186,7 +185,7 @@
                         .with("node", owner.incarnation())
                         .with("candidates", takers.size())
                         .toString());
-        return Optional.of(new EntryAdvice(owner.http(), alternates, TTL_SECONDS, manifest.generation(), ticket));
+        return Optional.of(new EntryAssignment(owner.http(), alternates, TTL_SECONDS, manifest.generation(), ticket));
     }
 
     /**
@@ -208,7 +207,7 @@
         return new NodeStatus(
                 incarnation.name(),
                 settings.zone(),
-                ready(),
+                isReady(),
                 draining,
                 manifest.generation(),
                 states.size() - ended,
@@ -302,7 +301,7 @@
                 .whenCompleteAsync(
                         (handedOver, failure) -> exitWhenUnused(
                                 loop.clock().nanos()
-                                        + settings.timings().drainLimit().toNanos() * 2,
+                                        + settings.timings().drainTimeout().toNanos() * 2,
                                 done),
                         loop);
         return done;
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/NodeSettings.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/NodeSettings.java
@@ -15,34 +15,34 @@
     /**
      * Intervals, timeouts and rate limits of a node.
      *
-     * @param heartbeat time between heartbeats to a peer
-     * @param suspectAfter time without a message from a peer after which it is suspected and probed through others
-     * @param probeWait time to wait for probe answers before a suspected peer's journal is sealed
-     * @param registryPoll time between reads of the node records
+     * @param heartbeatInterval time between heartbeats to a peer
+     * @param suspectTimeout time without a message from a peer after which it is suspected and probed through others
+     * @param probeTimeout time to wait for probe answers before a suspected peer's journal is sealed
+     * @param registryPollInterval time between reads of the node records
      * @param commitInterval minimum time between two journal writes
      * @param platformWritesPerSecond journal writes per second of all nodes together, split evenly among them
      * @param platformTimeout timeout of a platform request
-     * @param outageAfter new work is refused once a journal write has been unanswered for this long
-     * @param stall pause of the event loop after which the node verifies that it still owns its journal
-     * @param requestLimit time without a reachable owner after which a request is refused
+     * @param outageThreshold new work is refused once a journal write has been unanswered for this long
+     * @param pauseThreshold pause of the event loop after which the node verifies that it still owns its journal
+     * @param ownerLookupTimeout time without a reachable owner after which a request is refused
      * @param answerRetention time for which ended programs stay readable
-     * @param ticketLife time for which a ticket is accepted for new work
-     * @param drainLimit maximum time for which a drain waits for running steps
+     * @param ticketLifetime time for which a ticket is accepted for new work
+     * @param drainTimeout maximum time for which a drain waits for running steps
      */
     public record Timings(
-            Duration heartbeat,
-            Duration suspectAfter,
-            Duration probeWait,
-            Duration registryPoll,
+            Duration heartbeatInterval,
+            Duration suspectTimeout,
+            Duration probeTimeout,
+            Duration registryPollInterval,
             Duration commitInterval,
             int platformWritesPerSecond,
             Duration platformTimeout,
-            Duration outageAfter,
-            Duration stall,
-            Duration requestLimit,
+            Duration outageThreshold,
+            Duration pauseThreshold,
+            Duration ownerLookupTimeout,
             Duration answerRetention,
-            Duration ticketLife,
-            Duration drainLimit) {
+            Duration ticketLifetime,
+            Duration drainTimeout) {
         /**
          * Returns the default timings, for a cluster with round-trip times of a few milliseconds between zones.
          *
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/CallerGateway.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/CallerGateway.java
@@ -320,7 +320,8 @@
                 retryNow();
             }
             boolean noOwner = target == null;
-            if (noOwner && now - lastProgressNanos > timings.requestLimit().toNanos()) {
+            if (noOwner
+                    && now - lastProgressNanos > timings.ownerLookupTimeout().toNanos()) {
                 giveUp();
             }
             if (!closed && !noOwner) {
@@ -335,7 +336,7 @@
                     RefusalKind.OUTCOME_UNKNOWN,
                     Step.FORWARD,
                     String.valueOf(target),
-                    "no owner reachable within " + timings.requestLimit().toMillis() + " ms",
+                    "no owner reachable within " + timings.ownerLookupTimeout().toMillis() + " ms",
                     RETRY_AFTER_MILLIS));
         }
 
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdmissionDoor.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdmissionDoor.java
@@ -36,20 +36,20 @@
     /** Returns the refusal of a start request, or empty if it is admitted. */
     Optional<CallerReply.Refused> refusal(ProgramId id, boolean firstTry) {
         long ageMinutes = loop.clock().instant().getEpochSecond() / SECONDS_PER_MINUTE - id.issued();
-        if (ageMinutes > timings.ticketLife().toMinutes()) {
+        if (ageMinutes > timings.ticketLifetime().toMinutes()) {
             return Optional.of(new CallerReply.Refused(
                     RefusalKind.EXPIRED,
                     Step.ADMIT,
                     "self",
                     "ticket issued " + ageMinutes + " min ago has expired, limit is "
-                            + timings.ticketLife().toMinutes() + " min; request a new ticket",
+                            + timings.ticketLifetime().toMinutes() + " min; request a new ticket",
                     0));
         }
-        if (journal.stalledFor().compareTo(timings.outageAfter()) > 0) {
+        if (journal.stalledFor().compareTo(timings.outageThreshold()) > 0) {
             return Optional.of(notNow(
                     "the platform has not answered a journal write for "
                             + journal.stalledFor().toMillis() + " ms, limit is "
-                            + timings.outageAfter().toMillis() + " ms",
+                            + timings.outageThreshold().toMillis() + " ms",
                     firstTry));
         }
         return manifest.version() == null ? Optional.of(notNow("no manifest is known", firstTry)) : Optional.empty();
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramHost.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramHost.java
@@ -75,7 +75,7 @@
         this.manifest = manifest;
         this.steps = new StepRunner(environment, this, manifest, upstreams);
         this.door = new AdmissionDoor(loop, timings, journal, manifest);
-        this.guard = new PauseGuard(loop, timings.stall(), this::verifyOwnership);
+        this.guard = new PauseGuard(loop, timings.pauseThreshold(), this::verifyOwnership);
         this.strictGate = new FreshProofGate(guard, journal, timings.platformTimeout(), this::verifyOwnership);
         this.marks = new AdoptionMarks(journal);
     }
@@ -267,7 +267,7 @@
      * a pause too short to be detected.
      */
     void holdBack(LiveProgram live) {
-        Duration wait = timings.platformTimeout().plus(timings.stall());
+        Duration wait = timings.platformTimeout().plus(timings.pauseThreshold());
         live.heldUntilNanos(loop.clock().nanos() + wait.toNanos());
         loop.schedule(wait.plusMillis(1), () -> advance(live));
     }
@@ -373,7 +373,7 @@
                 }
             }
         });
-        loop.schedule(timings.outageAfter(), () -> {
+        loop.schedule(timings.outageThreshold(), () -> {
             if (!replied[0]) {
                 replied[0] = true;
                 sink.reply(new CallerReply.Refused(
@@ -401,7 +401,8 @@
 
     private Runnable send(LiveProgram live, CallerRequest.Send send, ReplySink sink) {
         if (live.state().over() && !live.state().messages().containsKey(send.key())) {
-            return Refusals.refuse(sink, Refusals.notRun("program has ended: " + live.state().end(), 0));
+            return Refusals.refuse(
+                    sink, Refusals.notRun("program has ended: " + live.state().end(), 0));
         }
         if (!live.state().messages().containsKey(send.key())) {
             record(live, new ProgramEvent.MessageArrived(send.key(), send.text()));
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/FailureDetector.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/FailureDetector.java
@@ -114,7 +114,7 @@
      */
     public boolean hears(String incarnation) {
         return incarnation.equals(self)
-                || silence(incarnation) < timings.suspectAfter().toNanos();
+                || silence(incarnation) < timings.suspectTimeout().toNanos();
     }
 
     /**
@@ -134,7 +134,7 @@
         standOnRing();
         PeerMessage beat = new PeerMessage.Heartbeat(generation.getAsLong());
         ring.watchers(self).forEach(record -> send.accept(record, beat));
-        loop.schedule(timings.heartbeat(), this::beat);
+        loop.schedule(timings.heartbeatInterval(), this::beat);
     }
 
     /** Updates the neighbours. A newly watched node counts as alive: its earlier heartbeats went to other watchers. */
@@ -151,7 +151,7 @@
             return;
         }
         long now = loop.clock().nanos();
-        if (now - lastCheckNanos > timings.suspectAfter().toNanos() / 2) {
+        if (now - lastCheckNanos > timings.suspectTimeout().toNanos() / 2) {
             // This node was paused and received no messages. Counting the pause as missed heartbeats would seal the
             // journals of healthy nodes.
             heardNanos.replaceAll((peer, heard) -> now);
@@ -169,7 +169,7 @@
         long now = loop.clock().nanos();
         long vouched = vouchedNanos.getOrDefault(peer.incarnation(), Long.MIN_VALUE / 2);
         long silence = Math.min(silence(peer.incarnation()), now - vouched);
-        if (silence < timings.suspectAfter().toNanos()) {
+        if (silence < timings.suspectTimeout().toNanos()) {
             return;
         }
         if (!suspectedNanos.containsKey(peer.incarnation())) {
@@ -179,11 +179,11 @@
         }
         boolean isolated =
                 unsealed.get().size() > 1 && unsealed.get().stream().noneMatch(other -> hears(other.incarnation()));
-        if (isolated && silence < timings.suspectAfter().toNanos() * ISOLATED_FACTOR) {
+        if (isolated && silence < timings.suspectTimeout().toNanos() * ISOLATED_FACTOR) {
             return;
         }
         long waited = now - suspectedNanos.get(peer.incarnation());
-        if (waited >= timings.probeWait().toNanos() * (1 + rank(peer.incarnation()))) {
+        if (waited >= timings.probeTimeout().toNanos() * (1 + rank(peer.incarnation()))) {
             suspectedNanos.put(peer.incarnation(), now);
             onDead.accept(peer);
         }
