--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/RunnerSweep.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/EngineMemorySweeper.java
@@ -15,8 +15,8 @@
  * Releases engine memory that a failed node left behind. For each runner, one responsible node compares the engine's
  * allocations with the existing programs and releases the orphaned ones. Confined to the node's event loop.
  */
-final class RunnerSweep {
-    private static final Logger LOG = System.getLogger(RunnerSweep.class.getName());
+final class EngineMemorySweeper {
+    private static final Logger LOG = System.getLogger(EngineMemorySweeper.class.getName());
     private static final Duration PERIOD = Duration.ofSeconds(5);
 
     private final NodeEnvironment environment;
@@ -24,37 +24,37 @@
     private final RunnerPool runners;
     private final CallerGateway gateway;
 
-    RunnerSweep(NodeEnvironment environment, Node node, RunnerPool runners, CallerGateway gateway) {
+    EngineMemorySweeper(NodeEnvironment environment, Node node, RunnerPool runners, CallerGateway gateway) {
         this.environment = environment;
         this.node = node;
         this.runners = runners;
         this.gateway = gateway;
-        environment.loop().every(PERIOD, this::run);
+        environment.loop().every(PERIOD, this::sweepAll);
     }
 
-    private void run() {
-        runners.addresses().stream().filter(node::leads).forEach(this::sweep);
+    private void sweepAll() {
+        runners.addresses().stream().filter(node::isResponsibleFor).forEach(this::sweep);
     }
 
     private void sweep(String runner) {
-        runners.memory(runner)
+        runners.engineMemory(runner)
                 .thenAcceptAsync(
                         rows -> rows.stream()
                                 .map(org.parsleydrift.kernel.upstream.EngineMemory::owner)
                                 .distinct()
-                                .forEach(owner -> judge(runner, owner)),
+                                .forEach(owner -> releaseIfOrphaned(runner, owner)),
                         environment.loop())
-                .exceptionally(unreachable -> null);
+                .exceptionally(failure -> null);
     }
 
-    private void judge(String runner, String owner) {
+    private void releaseIfOrphaned(String runner, String owner) {
         try {
             gateway.open(new CallerRequest.Explain(ProgramId.parse(owner)), reply -> {
-                if (gone(reply)) {
-                    free(runner, owner);
+                if (isOrphaned(reply)) {
+                    release(runner, owner);
                 }
             });
-        } catch (StepException notOurs) {
+        } catch (StepException e) {
             LOG.log(
                     Logger.Level.DEBUG,
                     () -> LogLine.of("foreign_memory")
@@ -64,7 +64,7 @@
         }
     }
 
-    private static boolean gone(CallerReply reply) {
+    private static boolean isOrphaned(CallerReply reply) {
         return switch (reply) {
             case CallerReply.Refused refused ->
                 refused.kind() == RefusalKind.UNKNOWN_PROGRAM || refused.kind() == RefusalKind.BAD_REQUEST;
@@ -74,7 +74,7 @@
         };
     }
 
-    private void free(String runner, String owner) {
+    private void release(String runner, String owner) {
         LOG.log(
                 Logger.Level.INFO,
                 LogLine.of("memory_swept")
@@ -82,6 +82,6 @@
                         .with("program", owner)
                         .toString());
         environment.meters().counter("parsleydrift.memory.swept").increment();
-        runners.releaseAt(runner, owner);
+        runners.releaseOn(runner, owner);
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/Incarnation.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/Incarnation.java
@@ -15,7 +15,7 @@
 import org.parsleydrift.node.host.JournalCompactor;
 import org.parsleydrift.node.host.ProgramHost;
 import org.parsleydrift.node.host.Upstreams;
-import org.parsleydrift.node.manifest.ManifestKeeper;
+import org.parsleydrift.node.manifest.ManifestManager;
 import org.parsleydrift.node.membership.FailureDetector;
 import org.parsleydrift.node.membership.NodeRecord;
 import org.parsleydrift.node.membership.NodeRegistry;
@@ -31,16 +31,16 @@
 final class Incarnation {
     private static final Logger LOG = System.getLogger(Incarnation.class.getName());
     private static final int SEGMENT_BYTES = 768 * 1024;
-    private static final Duration RETRY = Duration.ofMillis(500);
-    private static final Duration LOOK_AGAIN = Duration.ofMillis(50);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(500);
+    private static final Duration MANIFEST_CHECK_INTERVAL = Duration.ofMillis(50);
 
     private final NodeEnvironment environment;
     private final EventLoop loop;
     private final NodeSettings settings;
     private final String name;
-    private final ManifestKeeper manifest;
+    private final ManifestManager manifest;
     private final Consumer<NodeRecord> onSealed;
-    private final Runnable onOver;
+    private final Runnable onTerminated;
     private final NodeRegistry registry;
     private final OwnerDirectory directory;
     private final JournalWriter journal;
@@ -51,46 +51,48 @@
     private FailureDetector detector;
     private boolean registered;
     private boolean draining;
-    private boolean over;
+    private boolean terminated;
     private boolean handedOver;
 
     /**
      * Creates the incarnation and starts its registration.
      *
      * @param onSealed called with the record of each other node whose journal has been sealed
-     * @param onOver called once, after this incarnation has lost its journal without draining
+     * @param onTerminated called once, after this incarnation has lost its journal without draining
      */
     Incarnation(
             NodeEnvironment environment,
             NodeSettings settings,
             String name,
-            ManifestKeeper manifest,
+            ManifestManager manifest,
             Upstreams upstreams,
             Consumer<NodeRecord> onSealed,
-            Runnable onOver) {
+            Runnable onTerminated) {
         this.environment = environment;
         this.loop = environment.loop();
         this.settings = settings;
         this.name = name;
         this.manifest = manifest;
         this.onSealed = onSealed;
-        this.onOver = onOver;
+        this.onTerminated = onTerminated;
         NodeSettings.Timings timings = settings.timings();
         JournalOptions options =
-                new JournalOptions(timings.commitInterval(), timings.platformTimeout(), RETRY, SEGMENT_BYTES);
-        this.registry = new NodeRegistry(environment, timings, this::recordChanged);
+                new JournalOptions(timings.commitInterval(), timings.platformTimeout(), RETRY_DELAY, SEGMENT_BYTES);
+        this.registry = new NodeRegistry(environment, timings, this::handleRecordChange);
         this.directory = new OwnerDirectory(name, registry);
-        this.journal = new JournalWriter(loop, environment.store(), name, options, fenced -> end());
+        this.journal = new JournalWriter(loop, environment.store(), name, options, fenced -> terminate());
         this.reader = new JournalReader(loop, environment.store(), options);
         this.host = new ProgramHost(environment, timings, journal, manifest, upstreams);
-        this.takeover = new Takeover(loop, name, reader, registry, directory, host, surroundings());
+        this.takeover = new Takeover(loop, name, reader, registry, directory, host, clusterView());
         this.compactor = new JournalCompactor(environment, name, journal, host);
         register();
     }
 
-    private Takeover.Surroundings surroundings() {
-        return new Takeover.Surroundings(
-                () -> takers().stream().map(NodeRecord::incarnation).toList(), this::leads, this::tellRegistryChanged);
+    private Takeover.ClusterView clusterView() {
+        return new Takeover.ClusterView(
+                () -> acceptingNodes().stream().map(NodeRecord::incarnation).toList(),
+                this::isResponsibleFor,
+                this::broadcastRegistryChange);
     }
 
     String name() {
@@ -113,8 +115,8 @@
         return journal;
     }
 
-    boolean active() {
-        return registered && !over;
+    boolean isActive() {
+        return registered && !terminated;
     }
 
     OwnerRoutes routes() {
@@ -130,27 +132,28 @@
     /** Returns the other nodes whose journals are not sealed. */
     List<NodeRecord> peers() {
         return registry.records().values().stream()
-                .filter(record -> !record.over() && !record.incarnation().equals(name))
+                .filter(record ->
+                        !record.hasSealedJournal() && !record.incarnation().equals(name))
                 .toList();
     }
 
     /** Returns the live nodes that accept new work, including this one unless it is draining. */
-    List<NodeRecord> takers() {
+    List<NodeRecord> acceptingNodes() {
         return registry.records().values().stream()
-                .filter(record -> !record.over()
+                .filter(record -> !record.hasSealedJournal()
                         && !record.draining()
-                        && (detector == null || detector.hears(record.incarnation())))
+                        && (detector == null || detector.isAlive(record.incarnation())))
                 .filter(record -> !draining || !record.incarnation().equals(name))
                 .sorted(java.util.Comparator.comparing(NodeRecord::incarnation))
                 .toList();
     }
 
-    boolean hears(String incarnation) {
-        return detector != null && detector.hears(incarnation);
+    boolean isAlive(String incarnation) {
+        return detector != null && detector.isAlive(incarnation);
     }
 
-    boolean watchesAndHears(String incarnation) {
-        return detector != null && detector.watches(incarnation) && detector.hears(incarnation);
+    boolean isWatchedAndAlive(String incarnation) {
+        return detector != null && detector.isWatching(incarnation) && detector.isAlive(incarnation);
     }
 
     void send(NodeRecord to, PeerMessage message) {
@@ -161,26 +164,26 @@
         peers().forEach(peer -> send(peer, message));
     }
 
-    void heard(String from) {
+    void recordHeartbeat(String peer) {
         if (detector != null) {
-            detector.heard(from);
+            detector.recordHeartbeat(peer);
         }
     }
 
-    void vouched(String suspect) {
+    void recordProbeAnswer(String suspect) {
         if (detector != null) {
-            detector.vouched(suspect);
+            detector.recordProbeAnswer(suspect);
         }
     }
 
-    void refresh() {
+    void refreshRegistry() {
         registry.refresh().exceptionally(failure -> null);
     }
 
     /** Returns whether rendezvous hashing over the nodes that accept work assigns the subject to this node. */
-    boolean leads(String subject) {
+    boolean isResponsibleFor(String subject) {
         LongHashFunction hash = LongHashFunction.xx3();
-        return takers().stream()
+        return acceptingNodes().stream()
                 .map(NodeRecord::incarnation)
                 .min(java.util.Comparator.comparingLong(node -> hash.hashChars(subject + node)))
                 .filter(name::equals)
@@ -198,9 +201,9 @@
         registry.change(name, NodeRecord::withDraining)
                 .whenCompleteAsync(
                         (record, failure) -> {
-                            tellRegistryChanged();
+                            broadcastRegistryChange();
                             host.drain();
-                            sealWhenQuiet(
+                            sealWhenIdle(
                                     loop.clock().nanos()
                                             + settings.timings().drainTimeout().toNanos(),
                                     drained);
@@ -209,16 +212,17 @@
         return drained;
     }
 
-    private void sealWhenQuiet(long limitNanos, CompletableFuture<Void> drained) {
-        if (over || handedOver) {
+    private void sealWhenIdle(long limitNanos, CompletableFuture<Void> drained) {
+        if (terminated || handedOver) {
             drained.complete(null);
             return;
         }
-        if (!host.quiet() && loop.clock().nanos() < limitNanos) {
-            loop.schedule(settings.timings().commitInterval(), () -> sealWhenQuiet(limitNanos, drained));
+        if (!host.isIdle() && loop.clock().nanos() < limitNanos) {
+            loop.schedule(settings.timings().commitInterval(), () -> sealWhenIdle(limitNanos, drained));
             return;
         }
-        List<String> successors = takers().stream().map(NodeRecord::incarnation).toList();
+        List<String> successors =
+                acceptingNodes().stream().map(NodeRecord::incarnation).toList();
         if (successors.isEmpty()) {
             drained.complete(null);
             return;
@@ -229,18 +233,18 @@
                             if (failure == null) {
                                 drained.complete(null);
                             } else {
-                                loop.schedule(RETRY, () -> sealWhenQuiet(limitNanos, drained));
+                                loop.schedule(RETRY_DELAY, () -> sealWhenIdle(limitNanos, drained));
                             }
                         },
                         loop);
     }
 
     private void register() {
-        if (over) {
+        if (terminated) {
             return;
         }
-        if (!manifest.known()) {
-            loop.schedule(LOOK_AGAIN, this::register);
+        if (!manifest.isKnown()) {
+            loop.schedule(MANIFEST_CHECK_INTERVAL, this::register);
             return;
         }
         NodeRecord record = new NodeRecord(name, settings.http(), settings.link(), settings.zone(), false, List.of());
@@ -253,7 +257,7 @@
                 .whenCompleteAsync(
                         (done, failure) -> {
                             if (failure == null) {
-                                begin();
+                                activate();
                             } else {
                                 LOG.log(
                                         Logger.Level.WARNING,
@@ -261,14 +265,14 @@
                                                 .with("node", name)
                                                 .failure(failure)
                                                 .toString());
-                                loop.schedule(RETRY, this::register);
+                                loop.schedule(RETRY_DELAY, this::register);
                             }
                         },
                         loop);
     }
 
-    private void begin() {
-        if (over || registered) {
+    private void activate() {
+        if (terminated || registered) {
             return;
         }
         registered = true;
@@ -286,20 +290,20 @@
                 this::peers,
                 this::send,
                 manifest::generation,
-                this::sealDead,
+                this::sealJournalOf,
                 peer -> environment.links().reset(peer.link()));
-        tellRegistryChanged();
-        poll();
-        compactor.begin();
-        takeover.work();
+        broadcastRegistryChange();
+        pollRegistry();
+        compactor.start();
+        takeover.processShares();
     }
 
-    private void poll() {
-        if (!over) {
-            refresh();
-            shareWriteRate();
-            takeover.work();
-            loop.schedule(settings.timings().registryPollInterval(), this::poll);
+    private void pollRegistry() {
+        if (!terminated) {
+            refreshRegistry();
+            adjustCommitInterval();
+            takeover.processShares();
+            loop.schedule(settings.timings().registryPollInterval(), this::pollRegistry);
         }
     }
 
@@ -307,15 +311,15 @@
      * Sets the commit interval so that all nodes together stay within the platform's write rate. Each node derives its
      * part from the number of peers, so no coordination is needed.
      */
-    private void shareWriteRate() {
+    private void adjustCommitInterval() {
         NodeSettings.Timings timings = settings.timings();
         long perWriter = (peers().size() + 1) * 1_000_000_000L / timings.platformWritesPerSecond();
         journal.commitInterval(
                 Duration.ofNanos(Math.max(timings.commitInterval().toNanos(), perWriter)));
     }
 
-    private void sealDead(NodeRecord dead) {
-        List<String> successors = takers().stream()
+    private void sealJournalOf(NodeRecord dead) {
+        List<String> successors = acceptingNodes().stream()
                 .map(NodeRecord::incarnation)
                 .filter(incarnation -> !incarnation.equals(dead.incarnation()))
                 .toList();
@@ -324,21 +328,21 @@
         }
     }
 
-    private void recordChanged(NodeRecord record) {
-        if (!record.over()) {
+    private void handleRecordChange(NodeRecord record) {
+        if (!record.hasSealedJournal()) {
             return;
         }
         if (record.incarnation().equals(name)) {
-            end();
+            terminate();
             return;
         }
         onSealed.accept(record);
         if (registered) {
-            takeover.work();
+            takeover.processShares();
         }
     }
 
-    private void tellRegistryChanged() {
+    private void broadcastRegistryChange() {
         broadcast(new PeerMessage.RegistryChanged());
     }
 
@@ -346,11 +350,11 @@
      * Stops all programs after the journal has been sealed, by another node or by this node's own drain: their new
      * owners run them from now on. After a drain the incarnation stays registered in order to forward open requests.
      */
-    private void end() {
-        if (over || handedOver) {
+    private void terminate() {
+        if (terminated || handedOver) {
             return;
         }
-        over = !draining;
+        terminated = !draining;
         handedOver = draining;
         LOG.log(
                 Logger.Level.WARNING,
@@ -361,11 +365,11 @@
         takeover.stop();
         compactor.stop();
         host.stop();
-        if (over) {
+        if (terminated) {
             if (detector != null) {
                 detector.stop();
             }
-            onOver.run();
+            onTerminated.run();
         }
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
@@ -19,14 +19,14 @@
 import org.parsleydrift.manifest.Manifest;
 import org.parsleydrift.manifest.ManifestVersion;
 import org.parsleydrift.manifest.OperationSpec;
-import org.parsleydrift.node.call.CallEnd;
-import org.parsleydrift.node.call.CallRunner;
+import org.parsleydrift.node.call.CallExecutor;
+import org.parsleydrift.node.call.CallResult;
 import org.parsleydrift.node.call.EffectGate;
 import org.parsleydrift.node.caller.CallerGateway;
 import org.parsleydrift.node.caller.CallerRequest;
 import org.parsleydrift.node.caller.ReplySink;
 import org.parsleydrift.node.host.Upstreams;
-import org.parsleydrift.node.manifest.ManifestKeeper;
+import org.parsleydrift.node.manifest.ManifestManager;
 import org.parsleydrift.node.membership.NodeRecord;
 import org.parsleydrift.node.peer.PeerEnvelope;
 import org.parsleydrift.node.peer.PeerMessage;
@@ -40,21 +40,21 @@
  */
 public final class Node {
     private static final Logger LOG = System.getLogger(Node.class.getName());
-    private static final Duration VM_POLL = Duration.ofMillis(500);
-    private static final Duration MANIFEST_POLL = Duration.ofSeconds(3);
-    private static final Duration WATCH_RETRY = Duration.ofSeconds(1);
-    private static final Duration DRAIN_CHECK = Duration.ofMillis(100);
-    private static final int TTL_SECONDS = 30;
+    private static final Duration VM_POLL_INTERVAL = Duration.ofMillis(500);
+    private static final Duration MANIFEST_POLL_INTERVAL = Duration.ofSeconds(3);
+    private static final Duration WATCH_RETRY_DELAY = Duration.ofSeconds(1);
+    private static final Duration DRAIN_CHECK_INTERVAL = Duration.ofMillis(100);
+    private static final int ENTRY_TTL_SECONDS = 30;
     private static final int MAX_ALTERNATES = 4;
 
     private final NodeEnvironment environment;
     private final EventLoop loop;
     private final NodeSettings settings;
-    private final ManifestKeeper manifest;
+    private final ManifestManager manifest;
     private final RunnerPool runners;
-    private final CallRunner calls;
+    private final CallExecutor calls;
     private final CallerGateway gateway;
-    private final Set<String> listedLeaving = new HashSet<>();
+    private final Set<String> leavingAddresses = new HashSet<>();
     private List<String> seedPeers = List.of();
     private Incarnation incarnation;
     private boolean draining;
@@ -71,20 +71,20 @@
         this.loop = environment.loop();
         this.settings = settings;
         this.runners = new RunnerPool(environment);
-        this.calls = new CallRunner(environment);
-        this.manifest = new ManifestKeeper(
-                loop, environment.store(), settings.timings().platformTimeout(), this::manifestChanged);
+        this.calls = new CallExecutor(environment);
+        this.manifest = new ManifestManager(
+                loop, environment.store(), settings.timings().platformTimeout(), this::applyManifest);
         this.gateway = new CallerGateway(
                 loop,
                 settings.timings(),
-                () -> incarnation != null && incarnation.active()
+                () -> incarnation != null && incarnation.isActive()
                         ? Optional.of(incarnation.routes())
                         : Optional.empty());
-        beginLife();
-        readManifest();
+        startIncarnation();
+        pollManifest();
         watchManifest();
         pollVms();
-        new RunnerSweep(environment, this, runners, gateway);
+        new EngineMemorySweeper(environment, this, runners, gateway);
     }
 
     /**
@@ -114,7 +114,7 @@
      * @param body the request body
      * @return the result; fails with a {@link StepException} if the manifest has no repeatable service of that name
      */
-    public CompletableFuture<CallEnd> callRepeatable(String service, String body) {
+    public CompletableFuture<CallResult> callRepeatable(String service, String body) {
         OperationSpec spec = manifest.manifest().services().get(service);
         if (spec == null || !spec.repeatable()) {
             return CompletableFuture.failedFuture(new StepException(
@@ -123,7 +123,7 @@
                     "no repeatable service " + service + " in manifest generation " + manifest.generation()));
         }
         String callId = "plain/" + Long.toHexString(environment.random().nextLong());
-        return calls.run(spec, new CallRequest(callId, service, body), EffectGate.OPEN);
+        return calls.execute(spec, new CallRequest(callId, service, body), EffectGate.OPEN);
     }
 
     /**
@@ -131,7 +131,7 @@
      *
      * @return the manager, shared by all incarnations of this node
      */
-    public ManifestKeeper manifest() {
+    public ManifestManager manifest() {
         return manifest;
     }
 
@@ -152,7 +152,7 @@
      * @return true if it is registered, has a manifest, and is not draining
      */
     public boolean isReady() {
-        return incarnation.active() && manifest.version() != null && !draining;
+        return incarnation.isActive() && manifest.version() != null && !draining;
     }
 
     /**
@@ -162,16 +162,16 @@
      * @return the assignment, or empty if no node accepts new work or no manifest is known
      */
     public Optional<EntryAssignment> assignEntryNode(String team) {
-        List<NodeRecord> takers = incarnation.active() ? incarnation.takers() : List.of();
-        if (takers.isEmpty() || manifest.version() == null) {
+        List<NodeRecord> candidates = incarnation.isActive() ? incarnation.acceptingNodes() : List.of();
+        if (candidates.isEmpty() || manifest.version() == null) {
             return Optional.empty();
         }
         long salt = environment.random().nextLong();
         LongHashFunction hash = LongHashFunction.xx3(salt);
-        NodeRecord owner = takers.stream()
+        NodeRecord owner = candidates.stream()
                 .min(Comparator.comparingLong(record -> hash.hashChars(team + record.incarnation())))
                 .orElseThrow();
-        List<String> alternates = takers.stream()
+        List<String> alternates = candidates.stream()
                 .filter(record -> !record.equals(owner))
                 .sorted(Comparator.comparing(record -> record.zone().equals(owner.zone())))
                 .limit(MAX_ALTERNATES)
@@ -183,9 +183,10 @@
                 LogLine.of("entry")
                         .with("team", team)
                         .with("node", owner.incarnation())
-                        .with("candidates", takers.size())
+                        .with("candidates", candidates.size())
                         .toString());
-        return Optional.of(new EntryAssignment(owner.http(), alternates, TTL_SECONDS, manifest.generation(), ticket));
+        return Optional.of(
+                new EntryAssignment(owner.http(), alternates, ENTRY_TTL_SECONDS, manifest.generation(), ticket));
     }
 
     /**
@@ -201,7 +202,7 @@
                         peer.incarnation(),
                         peer.http(),
                         peer.zone(),
-                        incarnation.hears(peer.incarnation()),
+                        incarnation.isAlive(peer.incarnation()),
                         peer.draining()))
                 .toList();
         return new NodeStatus(
@@ -232,7 +233,7 @@
      * @return false if the program has ended, is unknown, or belongs to another node
      */
     public boolean running(ProgramId id) {
-        return incarnation.host().running(id);
+        return incarnation.host().isRunning(id);
     }
 
     /**
@@ -243,23 +244,23 @@
     public void receive(PeerEnvelope envelope) {
         PeerMessage message = envelope.message();
         if (message instanceof PeerMessage.ManifestAsk) {
-            offerManifest(envelope.from(), envelope.fromLink());
+            sendManifest(envelope.from(), envelope.fromLink());
             return;
         }
         if (message instanceof PeerMessage.ManifestOffer offer) {
             manifest.offerFromPeer(offer.version(), envelope.from());
             return;
         }
-        if (!incarnation.active() || !incarnation.name().equals(envelope.to())) {
+        if (!incarnation.isActive() || !incarnation.name().equals(envelope.to())) {
             return;
         }
         Optional<NodeRecord> sender = incarnation.registry().find(envelope.from());
         if (sender.isEmpty()) {
-            incarnation.refresh();
+            incarnation.refreshRegistry();
             return;
         }
-        if (!sender.get().over()) {
-            incarnation.heard(envelope.from());
+        if (!sender.get().hasSealedJournal()) {
+            incarnation.recordHeartbeat(envelope.from());
         }
         dispatch(sender.get(), message);
     }
@@ -268,17 +269,17 @@
         switch (message) {
             case PeerMessage.Heartbeat beat -> compareGenerations(from, beat.generation());
             case PeerMessage.Probe probe -> {
-                if (incarnation.watchesAndHears(probe.suspect())) {
+                if (incarnation.isWatchedAndAlive(probe.suspect())) {
                     incarnation.send(from, new PeerMessage.ProbeAnswer(probe.suspect()));
                 }
             }
-            case PeerMessage.ProbeAnswer answer -> incarnation.vouched(answer.suspect());
-            case PeerMessage.RegistryChanged ignored -> incarnation.refresh();
-            case PeerMessage.Forward forward -> gateway.forward(from, forward);
-            case PeerMessage.ForwardCancel cancel -> gateway.forwardCancel(from, cancel.number());
-            case PeerMessage.ForwardReply reply -> gateway.forwardReply(reply);
+            case PeerMessage.ProbeAnswer answer -> incarnation.recordProbeAnswer(answer.suspect());
+            case PeerMessage.RegistryChanged ignored -> incarnation.refreshRegistry();
+            case PeerMessage.Forward forward -> gateway.handleForward(from, forward);
+            case PeerMessage.ForwardCancel cancel -> gateway.handleForwardCancel(from, cancel.number());
+            case PeerMessage.ForwardReply reply -> gateway.handleForwardReply(reply);
             case PeerMessage.ManifestOffer offer -> manifest.offerFromPeer(offer.version(), from.incarnation());
-            case PeerMessage.ManifestAsk ignored -> offerManifest(from.incarnation(), from.link());
+            case PeerMessage.ManifestAsk ignored -> sendManifest(from.incarnation(), from.link());
         }
     }
 
@@ -299,7 +300,7 @@
         incarnation
                 .drain()
                 .whenCompleteAsync(
-                        (handedOver, failure) -> exitWhenUnused(
+                        (handedOver, failure) -> completeWhenNoOpenRequests(
                                 loop.clock().nanos()
                                         + settings.timings().drainTimeout().toNanos() * 2,
                                 done),
@@ -307,22 +308,24 @@
         return done;
     }
 
-    boolean leads(String subject) {
-        return incarnation.active() && incarnation.leads(subject);
+    boolean isResponsibleFor(String subject) {
+        return incarnation.isActive() && incarnation.isResponsibleFor(subject);
     }
 
-    private void exitWhenUnused(long limitNanos, CompletableFuture<Void> done) {
-        if (gateway.waiting() == 0 || loop.clock().nanos() > limitNanos) {
+    private void completeWhenNoOpenRequests(long limitNanos, CompletableFuture<Void> done) {
+        if (gateway.openRequestCount() == 0 || loop.clock().nanos() > limitNanos) {
             LOG.log(
                     Logger.Level.INFO,
-                    LogLine.of("drain_done").with("waiting", gateway.waiting()).toString());
+                    LogLine.of("drain_done")
+                            .with("waiting", gateway.openRequestCount())
+                            .toString());
             done.complete(null);
             return;
         }
-        loop.schedule(DRAIN_CHECK, () -> exitWhenUnused(limitNanos, done));
+        loop.schedule(DRAIN_CHECK_INTERVAL, () -> completeWhenNoOpenRequests(limitNanos, done));
     }
 
-    private void beginLife() {
+    private void startIncarnation() {
         String name =
                 settings.vm() + "-" + Long.toHexString(environment.random().nextLong());
         incarnation = new Incarnation(
@@ -331,17 +334,17 @@
                 name,
                 manifest,
                 new Upstreams(runners, calls),
-                record -> gateway.lost(record.incarnation()),
-                this::lifeOver);
+                record -> gateway.retryRequestsTo(record.incarnation()),
+                this::replaceIncarnation);
     }
 
-    private void lifeOver() {
+    private void replaceIncarnation() {
         String former = incarnation.name();
-        beginLife();
-        gateway.lost(former);
+        startIncarnation();
+        gateway.retryRequestsTo(former);
     }
 
-    private void manifestChanged(Manifest changed) {
+    private void applyManifest(Manifest changed) {
         runners.configure(changed);
         if (incarnation != null) {
             incarnation.broadcast(new PeerMessage.ManifestOffer(manifest.version()));
@@ -354,7 +357,7 @@
         }
     }
 
-    private void offerManifest(String to, String link) {
+    private void sendManifest(String to, String link) {
         if (manifest.version() != null) {
             environment
                     .links()
@@ -368,12 +371,12 @@
         }
     }
 
-    private void readManifest() {
+    private void pollManifest() {
         manifest.refresh()
                 .whenCompleteAsync(
                         (changed, failure) -> {
                             if (failure != null && manifest.version() == null) {
-                                manifest.platformSilent();
+                                manifest.markPlatformUnavailable();
                                 seedPeers.forEach(address -> environment
                                         .links()
                                         .send(
@@ -384,33 +387,33 @@
                                                         "",
                                                         new PeerMessage.ManifestAsk())));
                             }
-                            loop.schedule(MANIFEST_POLL, this::readManifest);
+                            loop.schedule(MANIFEST_POLL_INTERVAL, this::pollManifest);
                         },
                         loop);
     }
 
     /** Long-polls the platform for the next manifest. Only one node of each zone does so, to limit platform calls. */
     private void watchManifest() {
-        if (!incarnation.active() || !watchesForZone()) {
-            loop.schedule(WATCH_RETRY, this::watchManifest);
+        if (!incarnation.isActive() || !isZoneWatcher()) {
+            loop.schedule(WATCH_RETRY_DELAY, this::watchManifest);
             return;
         }
         environment
                 .store()
-                .watch(ManifestKeeper.KEY, watchedVersion)
+                .watch(ManifestManager.KEY, watchedVersion)
                 .whenCompleteAsync(
                         (found, failure) -> {
                             if (failure == null && found.isPresent()) {
                                 watchedVersion = found.get().version();
                                 manifest.refresh();
                             }
-                            loop.schedule(failure == null ? Duration.ZERO : WATCH_RETRY, this::watchManifest);
+                            loop.schedule(failure == null ? Duration.ZERO : WATCH_RETRY_DELAY, this::watchManifest);
                         },
                         loop);
     }
 
-    private boolean watchesForZone() {
-        return incarnation.takers().stream()
+    private boolean isZoneWatcher() {
+        return incarnation.acceptingNodes().stream()
                 .filter(record -> record.zone().equals(settings.zone()))
                 .map(NodeRecord::incarnation)
                 .min(Comparator.naturalOrder())
@@ -425,28 +428,28 @@
                 .whenCompleteAsync(
                         (rows, failure) -> {
                             if (failure == null) {
-                                takeVms(rows);
+                                applyVmList(rows);
                             }
-                            loop.schedule(VM_POLL, this::pollVms);
+                            loop.schedule(VM_POLL_INTERVAL, this::pollVms);
                         },
                         loop);
     }
 
-    private void takeVms(List<VmEntry> rows) {
+    private void applyVmList(List<VmEntry> rows) {
         Set<String> leaving = new HashSet<>();
         rows.stream().filter(VmEntry::leaving).map(VmEntry::address).forEach(leaving::add);
-        leaving.stream().filter(listedLeaving::add).forEach(address -> markLeaving(address, true));
-        List<String> back = listedLeaving.stream()
+        leaving.stream().filter(leavingAddresses::add).forEach(address -> markLeaving(address, true));
+        List<String> returned = leavingAddresses.stream()
                 .filter(address -> !leaving.contains(address))
                 .toList();
-        back.forEach(address -> {
-            listedLeaving.remove(address);
+        returned.forEach(address -> {
+            leavingAddresses.remove(address);
             markLeaving(address, false);
         });
     }
 
     private void markLeaving(String address, boolean leaving) {
-        runners.leaving(address, leaving);
-        calls.leaving(address, leaving);
+        runners.setLeaving(address, leaving);
+        calls.setLeaving(address, leaving);
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/call/CallRunner.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/call/CallExecutor.java
@@ -25,26 +25,26 @@
  * <p>A non-repeatable call is retried only if the previous attempt certainly did not run: no connection was made, or
  * the upstream refused it. After any other failure its outcome is unknown and it is not sent again.
  */
-public final class CallRunner {
-    private static final Logger LOG = System.getLogger(CallRunner.class.getName());
-    private static final Duration BACKOFF = Duration.ofMillis(100);
+public final class CallExecutor {
+    private static final Logger LOG = System.getLogger(CallExecutor.class.getName());
+    private static final Duration INITIAL_BACKOFF = Duration.ofMillis(100);
     /** An upstream that announced its shutdown may have been restarted by then. */
-    private static final Duration BELIEVE_REFUSAL = Duration.ofSeconds(5);
+    private static final Duration LEAVING_RETRY_DELAY = Duration.ofSeconds(5);
 
-    private static final int QUEUE_FACTOR = 8;
+    private static final int QUEUED_CALLS_PER_SLOT = 8;
 
     private final NodeEnvironment environment;
     private final EventLoop loop;
     private final Map<String, Integer> running = new HashMap<>();
     private final Map<String, Deque<Runnable>> queues = new HashMap<>();
-    private final Map<String, Long> leaving = new HashMap<>();
+    private final Map<String, Long> leavingUntilNanos = new HashMap<>();
 
     /**
      * Creates an executor.
      *
      * @param environment event loop, clients and random source
      */
-    public CallRunner(NodeEnvironment environment) {
+    public CallExecutor(NodeEnvironment environment) {
         this.environment = environment;
         this.loop = environment.loop();
     }
@@ -53,13 +53,13 @@
      * Records whether an upstream is leaving. Leaving upstreams are used only if all upstreams of an operation are.
      *
      * @param address address of the upstream
-     * @param now whether it is leaving
+     * @param isLeaving whether it is leaving
      */
-    public void leaving(String address, boolean now) {
-        if (now) {
-            leaving.put(address, Long.MAX_VALUE);
+    public void setLeaving(String address, boolean isLeaving) {
+        if (isLeaving) {
+            leavingUntilNanos.put(address, Long.MAX_VALUE);
         } else {
-            leaving.remove(address);
+            leavingUntilNanos.remove(address);
         }
     }
 
@@ -72,43 +72,44 @@
      * @return the result, {@link CallOutcome#NOT_RUN} if too many calls are queued; completes on the event loop, never
      *     exceptionally
      */
-    public CompletableFuture<CallEnd> run(OperationSpec spec, CallRequest request, EffectGate gate) {
-        CompletableFuture<CallEnd> end = new CompletableFuture<>();
+    public CompletableFuture<CallResult> execute(OperationSpec spec, CallRequest request, EffectGate gate) {
+        CompletableFuture<CallResult> result = new CompletableFuture<>();
         String operation = request.operation();
         Runnable start = () -> {
             running.merge(operation, 1, Integer::sum);
-            tryOnce(new Attempt(spec, request, gate, 1), end);
+            startAttempt(new Attempt(spec, request, gate, 1), result);
         };
         if (running.getOrDefault(operation, 0) < spec.concurrency()) {
             start.run();
         } else {
             Deque<Runnable> queue = queues.computeIfAbsent(operation, any -> new ArrayDeque<>());
-            if (queue.size() >= spec.concurrency() * QUEUE_FACTOR) {
-                return CompletableFuture.completedFuture(new CallEnd(CallOutcome.NOT_RUN, "too many calls wait"));
+            if (queue.size() >= spec.concurrency() * QUEUED_CALLS_PER_SLOT) {
+                return CompletableFuture.completedFuture(new CallResult(CallOutcome.NOT_RUN, "too many calls wait"));
             }
             queue.add(start);
         }
-        return end;
+        return result;
     }
 
-    private void tryOnce(Attempt attempt, CompletableFuture<CallEnd> end) {
+    private void startAttempt(Attempt attempt, CompletableFuture<CallResult> result) {
         attempt.gate()
                 .pass(
-                        () -> send(attempt, end),
-                        () -> finish(attempt.request(), new CallEnd(CallOutcome.NOT_RUN, "no longer the owner"), end));
+                        () -> send(attempt, result),
+                        () -> finish(
+                                attempt.request(), new CallResult(CallOutcome.NOT_RUN, "no longer the owner"), result));
     }
 
-    private void send(Attempt attempt, CompletableFuture<CallEnd> end) {
+    private void send(Attempt attempt, CompletableFuture<CallResult> result) {
         OperationSpec spec = attempt.spec();
         CallRequest request = attempt.request();
         int number = attempt.number();
         long now = loop.clock().nanos();
-        leaving.values().removeIf(until -> until < now);
+        leavingUntilNanos.values().removeIf(until -> until < now);
         List<String> usable = spec.upstreams().stream()
-                .filter(address -> !leaving.containsKey(address))
+                .filter(address -> !leavingUntilNanos.containsKey(address))
                 .toList();
-        List<String> from = usable.isEmpty() ? spec.upstreams() : usable;
-        String upstream = from.get(Math.floorMod(environment.random().nextInt() + number, from.size()));
+        List<String> candidates = usable.isEmpty() ? spec.upstreams() : usable;
+        String upstream = candidates.get(Math.floorMod(environment.random().nextInt() + number, candidates.size()));
         LOG.log(
                 Logger.Level.INFO,
                 LogLine.of("routing")
@@ -116,7 +117,7 @@
                         .with("operation", request.operation())
                         .with("upstream", upstream)
                         .with("attempt", number)
-                        .with("candidates", from.size())
+                        .with("candidates", candidates.size())
                         .toString());
         environment
                 .calls()
@@ -124,15 +125,15 @@
                 .whenCompleteAsync(
                         (answer, failure) -> {
                             if (failure == null) {
-                                finish(request, new CallEnd(CallOutcome.OK, answer), end);
+                                finish(request, new CallResult(CallOutcome.OK, answer), result);
                             } else {
-                                failed(attempt, failure, end);
+                                handleFailure(attempt, failure, result);
                             }
                         },
                         loop);
     }
 
-    private void failed(Attempt attempt, Throwable failure, CompletableFuture<CallEnd> end) {
+    private void handleFailure(Attempt attempt, Throwable failure, CompletableFuture<CallResult> result) {
         OperationSpec spec = attempt.spec();
         CallRequest request = attempt.request();
         int number = attempt.number();
@@ -146,11 +147,11 @@
                         .failure(failure)
                         .toString());
         if (StepException.unwrap(failure) instanceof CallException known && known.leaving()) {
-            leaving.put(known.peer(), loop.clock().nanos() + BELIEVE_REFUSAL.toNanos());
+            leavingUntilNanos.put(known.peer(), loop.clock().nanos() + LEAVING_RETRY_DELAY.toNanos());
         }
-        boolean again = kind == CallFailure.NOT_RUN || (kind == CallFailure.UNKNOWN && spec.repeatable());
-        if (again && number < spec.attempts()) {
-            loop.schedule(BACKOFF.multipliedBy(1L << (number - 1)), () -> tryOnce(attempt.next(), end));
+        boolean retry = kind == CallFailure.NOT_RUN || (kind == CallFailure.UNKNOWN && spec.repeatable());
+        if (retry && number < spec.attempts()) {
+            loop.schedule(INITIAL_BACKOFF.multipliedBy(1L << (number - 1)), () -> startAttempt(attempt.next(), result));
             return;
         }
         CallOutcome outcome = switch (kind) {
@@ -160,18 +161,18 @@
         };
         finish(
                 request,
-                new CallEnd(
+                new CallResult(
                         outcome, String.valueOf(StepException.unwrap(failure).getMessage())),
-                end);
+                result);
     }
 
-    private void finish(CallRequest request, CallEnd result, CompletableFuture<CallEnd> end) {
+    private void finish(CallRequest request, CallResult value, CompletableFuture<CallResult> result) {
         running.merge(request.operation(), -1, Integer::sum);
         Deque<Runnable> queue = queues.get(request.operation());
         if (queue != null && !queue.isEmpty()) {
             queue.poll().run();
         }
-        end.complete(result);
+        result.complete(value);
     }
 
     /** One attempt of a call, numbered from 1. */
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/call/CallEnd.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/call/CallResult.java
@@ -8,4 +8,4 @@
  * @param outcome how the call ended
  * @param answer the upstream's response, or the reason of the failure
  */
-public record CallEnd(CallOutcome outcome, String answer) {}
+public record CallResult(CallOutcome outcome, String answer) {}
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/call/EffectGate.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/call/EffectGate.java
@@ -10,7 +10,7 @@
      * Runs one of two tasks, immediately or after a check of the ownership.
      *
      * @param attempt run if the effect is permitted
-     * @param dropped run if ownership has been lost
+     * @param onDenied run if ownership has been lost
      */
-    void pass(Runnable attempt, Runnable dropped);
+    void pass(Runnable attempt, Runnable onDenied);
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/CallerGateway.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/CallerGateway.java
@@ -21,18 +21,18 @@
  */
 public final class CallerGateway {
     private static final Logger LOG = System.getLogger(CallerGateway.class.getName());
-    private static final Duration LOOK_AGAIN = Duration.ofMillis(50);
-    private static final Duration PROGRESS_PERIOD = Duration.ofMillis(500);
-    private static final Duration SILENCE_LIMIT = Duration.ofSeconds(2);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(50);
+    private static final Duration PROGRESS_INTERVAL = Duration.ofMillis(500);
+    private static final Duration REPLY_TIMEOUT = Duration.ofSeconds(2);
     private static final long RETRY_AFTER_MILLIS = 2000;
 
     private final EventLoop loop;
     private final NodeSettings.Timings timings;
     private final Supplier<Optional<OwnerRoutes>> routes;
-    private final Map<Long, OpenRequest> forwarded = new HashMap<>();
-    private final List<OpenRequest> open = new ArrayList<>();
-    private final Map<String, Served> served = new HashMap<>();
-    private long nextNumber;
+    private final Map<Long, OpenRequest> outboundForwards = new HashMap<>();
+    private final List<OpenRequest> openRequests = new ArrayList<>();
+    private final Map<String, InboundForward> inboundForwards = new HashMap<>();
+    private long nextForwardNumber;
 
     /**
      * Creates a gateway.
@@ -45,7 +45,7 @@
         this.loop = loop;
         this.timings = timings;
         this.routes = routes;
-        loop.schedule(PROGRESS_PERIOD, this::tick);
+        loop.schedule(PROGRESS_INTERVAL, this::reportProgress);
     }
 
     /**
@@ -57,7 +57,7 @@
      */
     public Runnable open(CallerRequest request, ReplySink sink) {
         OpenRequest opened = new OpenRequest(request, sink);
-        open.add(opened);
+        openRequests.add(opened);
         opened.attempt();
         return opened::close;
     }
@@ -67,8 +67,8 @@
      *
      * @return 0 or more
      */
-    public int waiting() {
-        return open.size();
+    public int openRequestCount() {
+        return openRequests.size();
     }
 
     /**
@@ -77,14 +77,15 @@
      * @param from the peer
      * @param forward the request with the peer's number for it
      */
-    public void forward(NodeRecord from, PeerMessage.Forward forward) {
-        Served serving = new Served(from, forward.number());
-        served.put(serving.key(), serving);
-        Optional<OwnerRoutes> ways = routes.get();
-        if (ways.isEmpty() || !ways.get().directory().ready(forward.request().id())) {
-            serving.reply(new CallerReply.Moved());
+    public void handleForward(NodeRecord from, PeerMessage.Forward forward) {
+        InboundForward inbound = new InboundForward(from, forward.number());
+        inboundForwards.put(inbound.key(), inbound);
+        Optional<OwnerRoutes> ownerRoutes = routes.get();
+        if (ownerRoutes.isEmpty()
+                || !ownerRoutes.get().directory().canServe(forward.request().id())) {
+            inbound.reply(new CallerReply.Moved());
         } else {
-            serving.cancel = handle(ways.get(), forward.request(), serving);
+            inbound.cancel = handleLocally(ownerRoutes.get(), forward.request(), inbound);
         }
     }
 
@@ -94,10 +95,10 @@
      * @param from the peer
      * @param number the peer's number for the request
      */
-    public void forwardCancel(NodeRecord from, long number) {
-        Served serving = served.remove(from.incarnation() + "/" + number);
-        if (serving != null) {
-            serving.cancel.run();
+    public void handleForwardCancel(NodeRecord from, long number) {
+        InboundForward inbound = inboundForwards.remove(from.incarnation() + "/" + number);
+        if (inbound != null) {
+            inbound.cancel.run();
         }
     }
 
@@ -106,10 +107,10 @@
      *
      * @param message the reply with this node's number for the request
      */
-    public void forwardReply(PeerMessage.ForwardReply message) {
-        OpenRequest request = forwarded.get(message.number());
+    public void handleForwardReply(PeerMessage.ForwardReply message) {
+        OpenRequest request = outboundForwards.get(message.number());
         if (request != null) {
-            request.forwardedReply(message);
+            request.handleForwardReply(message);
         }
     }
 
@@ -118,41 +119,43 @@
      *
      * @param incarnation the node's incarnation
      */
-    public void lost(String incarnation) {
-        List.copyOf(open).stream()
+    public void retryRequestsTo(String incarnation) {
+        List.copyOf(openRequests).stream()
                 .filter(request -> incarnation.equals(request.target))
-                .forEach(OpenRequest::retryNow);
+                .forEach(OpenRequest::detachAndRetry);
     }
 
-    private static Runnable handle(OwnerRoutes ways, CallerRequest request, ReplySink sink) {
-        return ways.host().handle(request, reply -> {
+    private static Runnable handleLocally(OwnerRoutes ownerRoutes, CallerRequest request, ReplySink sink) {
+        return ownerRoutes.host().handle(request, reply -> {
             if (reply instanceof CallerReply.Refused refused && refused.kind() == RefusalKind.UNKNOWN_PROGRAM) {
                 LOG.log(
                         Logger.Level.INFO,
                         LogLine.of("program_unknown")
                                 .with("program", request.id())
-                                .with("node", ways.self())
-                                .with("chain", String.join(">", ways.directory().chain(request.id())))
+                                .with("node", ownerRoutes.self())
+                                .with(
+                                        "chain",
+                                        String.join(">", ownerRoutes.directory().chain(request.id())))
                                 .toString());
             }
             sink.reply(reply);
         });
     }
 
-    private void tick() {
-        List.copyOf(served.values()).forEach(serving -> serving.reply(new CallerReply.Progress()));
-        List.copyOf(open).forEach(OpenRequest::check);
-        loop.schedule(PROGRESS_PERIOD, this::tick);
+    private void reportProgress() {
+        List.copyOf(inboundForwards.values()).forEach(inbound -> inbound.reply(new CallerReply.Progress()));
+        List.copyOf(openRequests).forEach(OpenRequest::checkTimeouts);
+        loop.schedule(PROGRESS_INTERVAL, this::reportProgress);
     }
 
     /** A request that a peer forwarded to this node. */
-    private final class Served implements ReplySink {
+    private final class InboundForward implements ReplySink {
         private final NodeRecord from;
         private final long number;
-        private long order;
+        private long nextOrder;
         private Runnable cancel = () -> {};
 
-        private Served(NodeRecord from, long number) {
+        private InboundForward(NodeRecord from, long number) {
             this.from = from;
             this.number = number;
         }
@@ -164,10 +167,12 @@
         @Override
         public void reply(CallerReply reply) {
             if (reply.last()) {
-                served.remove(key());
+                inboundForwards.remove(key());
             }
-            long sent = order++;
-            routes.get().ifPresent(ways -> ways.send().accept(from, new PeerMessage.ForwardReply(number, sent, reply)));
+            long sent = nextOrder++;
+            routes.get()
+                    .ifPresent(ownerRoutes ->
+                            ownerRoutes.send().accept(from, new PeerMessage.ForwardReply(number, sent, reply)));
         }
     }
 
@@ -176,16 +181,16 @@
         private final CallerRequest request;
         private final ReplySink sink;
         private long offset;
-        private long number = -1;
+        private long forwardNumber = -1;
         private long expectedOrder;
         private String target;
         private Runnable cancelLocal = () -> {};
         private long lastProgressNanos;
         private long lastReplyNanos;
-        private String soughtAnew = "";
-        private boolean handed;
+        private String refreshedFor = "";
+        private boolean attempted;
         private boolean closed;
-        private boolean retrySet;
+        private boolean retryScheduled;
 
         private OpenRequest(CallerRequest request, ReplySink sink) {
             this.request = request;
@@ -195,34 +200,34 @@
         }
 
         private void attempt() {
-            retrySet = false;
+            retryScheduled = false;
             if (closed) {
                 return;
             }
-            Optional<OwnerRoutes> ways = routes.get();
-            if (ways.isEmpty()) {
-                retryLater();
+            Optional<OwnerRoutes> ownerRoutes = routes.get();
+            if (ownerRoutes.isEmpty()) {
+                scheduleRetry();
                 return;
             }
-            String owner = ways.get().directory().owner(request.id());
-            if (owner.equals(ways.get().self())) {
-                attemptHere(ways.get());
+            String owner = ownerRoutes.get().directory().owner(request.id());
+            if (owner.equals(ownerRoutes.get().self())) {
+                attemptLocally(ownerRoutes.get());
             } else {
-                attemptThere(ways.get(), owner);
+                attemptRemotely(ownerRoutes.get(), owner);
             }
         }
 
-        private void attemptHere(OwnerRoutes ways) {
-            if (!ways.directory().ready(request.id())) {
-                retryLater();
+        private void attemptLocally(OwnerRoutes ownerRoutes) {
+            if (!ownerRoutes.directory().canServe(request.id())) {
+                scheduleRetry();
                 return;
             }
-            target = ways.self();
-            number = -1;
+            target = ownerRoutes.self();
+            forwardNumber = -1;
             boolean[] current = {true};
-            Runnable cancel = handle(ways, present(), reply -> {
+            Runnable cancel = handleLocally(ownerRoutes, nextRequest(), reply -> {
                 if (current[0]) {
-                    take(reply);
+                    deliver(reply);
                 }
             });
             cancelLocal = () -> {
@@ -231,34 +236,35 @@
             };
         }
 
-        private void attemptThere(OwnerRoutes ways, String owner) {
-            Optional<NodeRecord> record = ways.registry().find(owner);
+        private void attemptRemotely(OwnerRoutes ownerRoutes, String owner) {
+            Optional<NodeRecord> record = ownerRoutes.registry().find(owner);
             if (record.isEmpty()) {
-                refreshOrRefuse(ways, owner);
+                refreshOrRefuse(ownerRoutes, owner);
                 return;
             }
             target = owner;
-            number = nextNumber++;
+            forwardNumber = nextForwardNumber++;
             expectedOrder = 0;
             lastReplyNanos = loop.clock().nanos();
-            forwarded.put(number, this);
-            ways.send().accept(record.get(), new PeerMessage.Forward(number, present()));
+            outboundForwards.put(forwardNumber, this);
+            ownerRoutes.send().accept(record.get(), new PeerMessage.Forward(forwardNumber, nextRequest()));
         }
 
-        private void refreshOrRefuse(OwnerRoutes ways, String owner) {
+        private void refreshOrRefuse(OwnerRoutes ownerRoutes, String owner) {
             // An owner is unknown only if a read begun after this lookup, by this incarnation, did not find it.
-            String sought = ways.self() + " " + owner;
-            if (soughtAnew.equals(sought)) {
-                take(new CallerReply.Refused(
+            String refreshKey = ownerRoutes.self() + " " + owner;
+            if (refreshedFor.equals(refreshKey)) {
+                deliver(new CallerReply.Refused(
                         RefusalKind.BAD_REQUEST, Step.FORWARD, "self", "ticket names an unknown node: " + owner, 0));
                 return;
             }
-            ways.registry()
-                    .refreshAnew()
+            ownerRoutes
+                    .registry()
+                    .refreshAgain()
                     .whenCompleteAsync(
                             (done, failure) -> {
-                                soughtAnew = failure == null ? sought : "";
-                                retryLater();
+                                refreshedFor = failure == null ? refreshKey : "";
+                                scheduleRetry();
                             },
                             loop);
         }
@@ -266,38 +272,38 @@
         /**
          * Returns the request for the next attempt: resumed at the current offset and marked as a repeat if it is one.
          */
-        private CallerRequest present() {
-            boolean again = handed;
-            handed = true;
+        private CallerRequest nextRequest() {
+            boolean repeated = attempted;
+            attempted = true;
             return switch (request) {
                 case CallerRequest.Attach attach -> new CallerRequest.Attach(attach.id(), offset);
                 case CallerRequest.Start start
-                when again -> new CallerRequest.Start(start.id(), start.agent(), start.prompt(), false);
+                when repeated -> new CallerRequest.Start(start.id(), start.agent(), start.prompt(), false);
                 case CallerRequest.CallService call
-                when again -> new CallerRequest.CallService(call.id(), call.service(), call.body(), false);
+                when repeated -> new CallerRequest.CallService(call.id(), call.service(), call.body(), false);
                 default -> request;
             };
         }
 
-        private void forwardedReply(PeerMessage.ForwardReply message) {
+        private void handleForwardReply(PeerMessage.ForwardReply message) {
             if (message.order() != expectedOrder) {
                 // A reply was lost with its connection; delivering this one would leave a gap in the answer.
-                retryNow();
+                detachAndRetry();
                 return;
             }
             expectedOrder++;
             lastReplyNanos = loop.clock().nanos();
-            take(message.reply());
+            deliver(message.reply());
         }
 
-        private void take(CallerReply reply) {
+        private void deliver(CallerReply reply) {
             if (closed) {
                 return;
             }
             switch (reply) {
                 case CallerReply.Moved ignored -> {
                     detach();
-                    retryLater();
+                    scheduleRetry();
                     return;
                 }
                 case CallerReply.Output output ->
@@ -312,17 +318,19 @@
             sink.reply(reply);
         }
 
-        private void check() {
+        private void checkTimeouts() {
             long now = loop.clock().nanos();
-            if (number >= 0 && now - lastReplyNanos > SILENCE_LIMIT.toNanos()) {
+            if (forwardNumber >= 0 && now - lastReplyNanos > REPLY_TIMEOUT.toNanos()) {
                 // Either the connection or the owner has failed: reset the connection and look up the owner again.
-                routes.get().ifPresent(ways -> ways.registry().find(target).ifPresent(ways.reset()));
-                retryNow();
+                routes.get()
+                        .ifPresent(ownerRoutes ->
+                                ownerRoutes.registry().find(target).ifPresent(ownerRoutes.reset()));
+                detachAndRetry();
             }
             boolean noOwner = target == null;
             if (noOwner
                     && now - lastProgressNanos > timings.ownerLookupTimeout().toNanos()) {
-                giveUp();
+                refuseOwnerUnreachable();
             }
             if (!closed && !noOwner) {
                 sink.reply(new CallerReply.Progress());
@@ -330,9 +338,9 @@
         }
 
         /** Refuses the request with a retry delay instead of holding the connection until an owner is reachable. */
-        private void giveUp() {
+        private void refuseOwnerUnreachable() {
             // Only the owner can report NOT_RUN: an earlier attempt through another node may have reached it.
-            take(new CallerReply.Refused(
+            deliver(new CallerReply.Refused(
                     RefusalKind.OUTCOME_UNKNOWN,
                     Step.FORWARD,
                     String.valueOf(target),
@@ -340,30 +348,32 @@
                     RETRY_AFTER_MILLIS));
         }
 
-        private void retryNow() {
+        private void detachAndRetry() {
             detach();
-            retryLater();
+            scheduleRetry();
         }
 
-        private void retryLater() {
+        private void scheduleRetry() {
             target = null;
-            if (!retrySet && !closed) {
-                retrySet = true;
-                loop.schedule(LOOK_AGAIN, this::attempt);
+            if (!retryScheduled && !closed) {
+                retryScheduled = true;
+                loop.schedule(RETRY_DELAY, this::attempt);
             }
         }
 
         private void detach() {
-            if (number >= 0) {
-                forwarded.remove(number);
-                long dropped = number;
-                String to = target;
+            if (forwardNumber >= 0) {
+                outboundForwards.remove(forwardNumber);
+                long cancelledNumber = forwardNumber;
+                String formerTarget = target;
                 routes.get()
-                        .ifPresent(ways -> ways.registry()
-                                .find(String.valueOf(to))
-                                .ifPresent(
-                                        record -> ways.send().accept(record, new PeerMessage.ForwardCancel(dropped))));
-                number = -1;
+                        .ifPresent(ownerRoutes -> ownerRoutes
+                                .registry()
+                                .find(String.valueOf(formerTarget))
+                                .ifPresent(record -> ownerRoutes
+                                        .send()
+                                        .accept(record, new PeerMessage.ForwardCancel(cancelledNumber))));
+                forwardNumber = -1;
             }
             cancelLocal.run();
             cancelLocal = () -> {};
@@ -371,15 +381,15 @@
 
         private void finish() {
             closed = true;
-            forwarded.remove(number);
-            open.remove(this);
+            outboundForwards.remove(forwardNumber);
+            openRequests.remove(this);
         }
 
         private void close() {
             if (!closed) {
                 closed = true;
                 detach();
-                open.remove(this);
+                openRequests.remove(this);
             }
         }
     }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdmissionDoor.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdmissionController.java
@@ -7,7 +7,7 @@
 import org.parsleydrift.node.NodeSettings;
 import org.parsleydrift.node.caller.CallerReply;
 import org.parsleydrift.node.caller.RefusalKind;
-import org.parsleydrift.node.manifest.ManifestInForce;
+import org.parsleydrift.node.manifest.CurrentManifest;
 import org.parsleydrift.program.ProgramId;
 
 /**
@@ -17,16 +17,16 @@
  * attempt of the same request. Only a first attempt is therefore refused as {@link RefusalKind#NOT_RUN}; a repeated one
  * is refused as {@link RefusalKind#OUTCOME_UNKNOWN}.
  */
-final class AdmissionDoor {
-    private static final long RETRY_MILLIS = 2000;
+final class AdmissionController {
+    private static final long RETRY_AFTER_MILLIS = 2000;
     private static final int SECONDS_PER_MINUTE = 60;
 
     private final EventLoop loop;
     private final NodeSettings.Timings timings;
     private final JournalWriter journal;
-    private final ManifestInForce manifest;
+    private final CurrentManifest manifest;
 
-    AdmissionDoor(EventLoop loop, NodeSettings.Timings timings, JournalWriter journal, ManifestInForce manifest) {
+    AdmissionController(EventLoop loop, NodeSettings.Timings timings, JournalWriter journal, CurrentManifest manifest) {
         this.loop = loop;
         this.timings = timings;
         this.journal = journal;
@@ -34,7 +34,7 @@
     }
 
     /** Returns the refusal of a start request, or empty if it is admitted. */
-    Optional<CallerReply.Refused> refusal(ProgramId id, boolean firstTry) {
+    Optional<CallerReply.Refused> refusal(ProgramId id, boolean firstAttempt) {
         long ageMinutes = loop.clock().instant().getEpochSecond() / SECONDS_PER_MINUTE - id.issued();
         if (ageMinutes > timings.ticketLifetime().toMinutes()) {
             return Optional.of(new CallerReply.Refused(
@@ -46,17 +46,19 @@
                     0));
         }
         if (journal.stalledFor().compareTo(timings.outageThreshold()) > 0) {
-            return Optional.of(notNow(
+            return Optional.of(unavailable(
                     "the platform has not answered a journal write for "
                             + journal.stalledFor().toMillis() + " ms, limit is "
                             + timings.outageThreshold().toMillis() + " ms",
-                    firstTry));
+                    firstAttempt));
         }
-        return manifest.version() == null ? Optional.of(notNow("no manifest is known", firstTry)) : Optional.empty();
+        return manifest.version() == null
+                ? Optional.of(unavailable("no manifest is known", firstAttempt))
+                : Optional.empty();
     }
 
-    private static CallerReply.Refused notNow(String reason, boolean firstTry) {
-        RefusalKind kind = firstTry ? RefusalKind.NOT_RUN : RefusalKind.OUTCOME_UNKNOWN;
-        return new CallerReply.Refused(kind, Step.ADMIT, "self", reason, RETRY_MILLIS);
+    private static CallerReply.Refused unavailable(String reason, boolean firstAttempt) {
+        RefusalKind kind = firstAttempt ? RefusalKind.NOT_RUN : RefusalKind.OUTCOME_UNKNOWN;
+        return new CallerReply.Refused(kind, Step.ADMIT, "self", reason, RETRY_AFTER_MILLIS);
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdoptionMarks.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdoptionMarkers.java
@@ -11,38 +11,38 @@
  * Adoption markers in this node's journal. A marker must stay in the journal until the node record shows the share as
  * adopted. Confined to the node's event loop.
  */
-final class AdoptionMarks {
+final class AdoptionMarkers {
     private final JournalWriter journal;
-    private final Map<String, Long> writtenFrom = new HashMap<>();
+    private final Map<String, Long> firstSegments = new HashMap<>();
 
-    AdoptionMarks(JournalWriter journal) {
+    AdoptionMarkers(JournalWriter journal) {
         this.journal = journal;
     }
 
     /** Retains the journal from the next segment on for a marker that is about to be written. */
-    void expect(String share) {
-        writtenFrom.put(share, journal.sequence() + 1);
+    void retainJournal(String share) {
+        firstSegments.put(share, journal.sequence() + 1);
     }
 
     CompletableFuture<Void> write(String share) {
         long from = journal.sequence() + 1;
         return journal.append(MessagePackCodec.encode(new JournalRecord.Adopted(share)))
                 .durable()
-                .thenRun(() -> writtenFrom.computeIfPresent(share, (any, before) -> from));
+                .thenRun(() -> firstSegments.computeIfPresent(share, (any, before) -> from));
     }
 
-    void forget(String share) {
-        writtenFrom.remove(share);
+    void remove(String share) {
+        firstSegments.remove(share);
     }
 
     void rewriteOlderThan(long sequence) {
-        List.copyOf(writtenFrom.entrySet()).stream()
-                .filter(mark -> mark.getValue() < sequence)
-                .forEach(mark -> write(mark.getKey()));
+        List.copyOf(firstSegments.entrySet()).stream()
+                .filter(marker -> marker.getValue() < sequence)
+                .forEach(marker -> write(marker.getKey()));
     }
 
     /** Returns the lowest segment that a marker needs, or {@code Long.MAX_VALUE} if there is none. */
-    long oldestNeeded() {
-        return writtenFrom.values().stream().mapToLong(each -> each).min().orElse(Long.MAX_VALUE);
+    long oldestReferencedSegment() {
+        return firstSegments.values().stream().mapToLong(each -> each).min().orElse(Long.MAX_VALUE);
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Attachment.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Attachment.java
@@ -15,7 +15,7 @@
     }
 
     /** Sends the part of the answer after the offset, or rewinds the caller if the answer has become shorter. */
-    void show(String answer) {
+    void sendMissing(String answer) {
         if (closed) {
             return;
         }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/JournalCompactor.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/JournalCompactor.java
@@ -10,9 +10,9 @@
  * deletes the segments that nothing references. Confined to the node's event loop.
  */
 public final class JournalCompactor {
-    private static final Duration PERIOD = Duration.ofSeconds(2);
-    private static final int KEPT_SEGMENTS = 256;
-    private static final int DELETES_AT_ONCE = 64;
+    private static final Duration INTERVAL = Duration.ofSeconds(2);
+    private static final int RETAINED_SEGMENTS = 256;
+    private static final int MAX_DELETES_PER_RUN = 64;
 
     private final NodeEnvironment environment;
     private final String incarnation;
@@ -22,7 +22,7 @@
     private boolean stopped;
 
     /**
-     * Creates a compactor that is idle until {@link #begin()}.
+     * Creates a compactor that is idle until {@link #start()}.
      *
      * @param environment gives access to the event loop and the platform
      * @param incarnation the incarnation that writes the journal
@@ -37,8 +37,8 @@
     }
 
     /** Starts periodic compaction. */
-    public void begin() {
-        environment.loop().schedule(PERIOD, this::run);
+    public void start() {
+        environment.loop().schedule(INTERVAL, this::run);
     }
 
     /** Stops compaction before its next run. */
@@ -51,7 +51,7 @@
             return;
         }
         long base = journal.durableBase();
-        long end = Math.min(base, deletedBelow + DELETES_AT_ONCE);
+        long end = Math.min(base, deletedBelow + MAX_DELETES_PER_RUN);
         for (long sequence = deletedBelow; sequence < end; sequence++) {
             environment
                     .store()
@@ -59,8 +59,8 @@
                     .exceptionally(failure -> null);
         }
         deletedBelow = Math.max(deletedBelow, end);
-        host.rewriteOlderThan(journal.sequence() - KEPT_SEGMENTS);
-        journal.base(host.oldestNeeded());
-        environment.loop().schedule(PERIOD, this::run);
+        host.rewriteOlderThan(journal.sequence() - RETAINED_SEGMENTS);
+        journal.base(host.oldestReferencedSegment());
+        environment.loop().schedule(INTERVAL, this::run);
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/JournalReplay.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/JournalReplay.java
@@ -20,8 +20,8 @@
 public final class JournalReplay {
     private final Map<ProgramId, ProgramState> programs = new LinkedHashMap<>();
     private final Set<String> adopted = new HashSet<>();
-    private final Map<String, List<ProgramState>> takenIn = new HashMap<>();
-    private final Map<ProgramId, List<JournalRecord.HistoryPart>> parts = new HashMap<>();
+    private final Map<String, List<ProgramState>> pendingAdoptions = new HashMap<>();
+    private final Map<ProgramId, List<JournalRecord.HistoryPart>> historyParts = new HashMap<>();
 
     /**
      * Replays a journal.
@@ -60,10 +60,14 @@
         switch (record) {
             case JournalRecord.OfProgram of -> applyEvent(of.id(), of.event());
             case JournalRecord.HistoryPart part ->
-                parts.computeIfAbsent(part.id(), any -> new ArrayList<>()).add(part);
+                historyParts
+                        .computeIfAbsent(part.id(), any -> new ArrayList<>())
+                        .add(part);
             case JournalRecord.TakenIn taken ->
-                takenIn.computeIfAbsent(taken.share(), any -> new ArrayList<>()).add(withHistories(taken.state()));
-            case JournalRecord.Adopted mark -> adopt(mark.share());
+                pendingAdoptions
+                        .computeIfAbsent(taken.share(), any -> new ArrayList<>())
+                        .add(withHistories(taken.state()));
+            case JournalRecord.Adopted marker -> adopt(marker.share());
             case JournalRecord.Probe ignored -> {
                 return;
             }
@@ -72,7 +76,7 @@
 
     private void adopt(String share) {
         adopted.add(share);
-        List<ProgramState> states = takenIn.remove(share);
+        List<ProgramState> states = pendingAdoptions.remove(share);
         if (states != null) {
             states.forEach(state -> programs.putIfAbsent(state.id(), state));
         }
@@ -88,15 +92,15 @@
     }
 
     private ProgramState withHistories(ProgramState state) {
-        List<JournalRecord.HistoryPart> mine = parts.getOrDefault(state.id(), List.of());
-        parts.remove(state.id());
+        List<JournalRecord.HistoryPart> own = historyParts.getOrDefault(state.id(), List.of());
+        historyParts.remove(state.id());
         Map<String, List<HistoryEntry>> histories = new HashMap<>();
-        mine.forEach(part ->
+        own.forEach(part ->
                 histories.computeIfAbsent(part.path(), any -> new ArrayList<>()).addAll(part.entries()));
-        return state.mapAgents(agent -> histories.containsKey(agent.path()) ? filled(agent, histories) : agent);
+        return state.mapAgents(agent -> histories.containsKey(agent.path()) ? withHistory(agent, histories) : agent);
     }
 
-    private static AgentState filled(AgentState agent, Map<String, List<HistoryEntry>> histories) {
+    private static AgentState withHistory(AgentState agent, Map<String, List<HistoryEntry>> histories) {
         return agent.withHistory(histories.get(agent.path()));
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/LiveProgram.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/LiveProgram.java
@@ -16,17 +16,17 @@
 final class LiveProgram {
     private ProgramState state;
     private BudgetLedger ledger;
-    private final Map<String, LoopTimer> running = new HashMap<>();
-    private final Map<String, Integer> undurableTurns = new HashMap<>();
+    private final Map<String, LoopTimer> runningSteps = new HashMap<>();
+    private final Map<String, Integer> nonDurableTurns = new HashMap<>();
     private final List<Attachment> attachments = new ArrayList<>();
     private final StringBuilder provisional = new StringBuilder();
     private JournalEntry lastEntry;
     private long answerLength;
     private int failures;
     private int attempts;
-    private long oldestNeeded;
+    private long oldestReferencedSegment;
     private boolean rewriting;
-    private long heldUntilNanos = Long.MIN_VALUE;
+    private long notBeforeNanos = Long.MIN_VALUE;
 
     LiveProgram(ProgramState state) {
         this.state = state;
@@ -43,8 +43,8 @@
         state = ProgramMachine.apply(state, event);
         lastEntry = entry;
         if (event instanceof ProgramEvent.TurnEnded ended) {
-            undurableTurns.merge(ended.path(), 1, Integer::sum);
-            entry.durable().thenRun(() -> undurableTurns.merge(ended.path(), -1, Integer::sum));
+            nonDurableTurns.merge(ended.path(), 1, Integer::sum);
+            entry.durable().thenRun(() -> nonDurableTurns.merge(ended.path(), -1, Integer::sum));
             if (ended.path().equals(ProgramState.ROOT)) {
                 answerLength += ended.text().length();
                 provisional.setLength(0);
@@ -57,7 +57,7 @@
         return lastEntry == null ? CompletableFuture.completedFuture(null) : lastEntry.durable();
     }
 
-    void journaled(JournalEntry entry) {
+    void setLastEntry(JournalEntry entry) {
         lastEntry = entry;
     }
 
@@ -65,20 +65,20 @@
         return lastEntry == null || lastEntry.durable().isDone();
     }
 
-    int undurableTurns(String path) {
-        return undurableTurns.getOrDefault(path, 0);
+    int nonDurableTurns(String path) {
+        return nonDurableTurns.getOrDefault(path, 0);
     }
 
     BudgetLedger ledger() {
         return ledger;
     }
 
-    void ledger(BudgetLedger changed) {
+    void setLedger(BudgetLedger changed) {
         ledger = changed;
     }
 
-    Map<String, LoopTimer> running() {
-        return running;
+    Map<String, LoopTimer> runningSteps() {
+        return runningSteps;
     }
 
     List<Attachment> attachments() {
@@ -95,15 +95,15 @@
     }
 
     /** Returns the answer including the output of the running turn. */
-    String shown() {
+    String visibleAnswer() {
         return state.answer() + provisional;
     }
 
-    int failedAgain() {
+    int recordFailure() {
         return failures++;
     }
 
-    void succeeded() {
+    void resetFailures() {
         failures = 0;
     }
 
@@ -112,29 +112,29 @@
     }
 
     /** Returns the oldest journal segment that is needed to reconstruct this program. */
-    long oldestNeeded() {
-        return oldestNeeded;
+    long oldestReferencedSegment() {
+        return oldestReferencedSegment;
     }
 
-    void oldestNeeded(long sequence) {
-        oldestNeeded = sequence;
+    void setOldestReferencedSegment(long sequence) {
+        oldestReferencedSegment = sequence;
     }
 
     /** Returns whether the state is being rewritten to the journal. */
-    boolean rewriting() {
+    boolean isRewriting() {
         return rewriting;
     }
 
-    void rewriting(boolean now) {
-        rewriting = now;
+    void setRewriting(boolean isRewriting) {
+        rewriting = isRewriting;
     }
 
     /** Returns the time before which no step may start, on the event loop's monotonic clock. */
-    long heldUntilNanos() {
-        return heldUntilNanos;
+    long notBeforeNanos() {
+        return notBeforeNanos;
     }
 
-    void heldUntilNanos(long nanos) {
-        heldUntilNanos = nanos;
+    void setNotBeforeNanos(long nanos) {
+        notBeforeNanos = nanos;
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/PauseGuard.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/PauseGuard.java
@@ -14,39 +14,39 @@
  * turn after the successor's calls. Confined to the node's event loop.
  */
 final class PauseGuard implements EffectGate {
-    private static final Duration TICK = Duration.ofMillis(100);
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
     private final EventLoop loop;
-    private final Duration stall;
-    private final Supplier<CompletableFuture<Void>> verify;
-    private final List<Held> held = new ArrayList<>();
-    private long lastTickNanos;
+    private final Duration pauseThreshold;
+    private final Supplier<CompletableFuture<Void>> verifyOwnership;
+    private final List<PendingEffect> pendingEffects = new ArrayList<>();
+    private long lastCheckNanos;
     private boolean verifying;
     private boolean stopped;
 
     /**
      * Creates a guard and starts its periodic check.
      *
-     * @param stall pauses longer than this require a verification
-     * @param verify writes to the journal; completes when the write is durable
+     * @param pauseThreshold pauses longer than this require a verification
+     * @param verifyOwnership writes to the journal; completes when the write is durable
      */
-    PauseGuard(EventLoop loop, Duration stall, Supplier<CompletableFuture<Void>> verify) {
+    PauseGuard(EventLoop loop, Duration pauseThreshold, Supplier<CompletableFuture<Void>> verifyOwnership) {
         this.loop = loop;
-        this.stall = stall;
-        this.verify = verify;
-        this.lastTickNanos = loop.clock().nanos();
-        tick();
+        this.pauseThreshold = pauseThreshold;
+        this.verifyOwnership = verifyOwnership;
+        this.lastCheckNanos = loop.clock().nanos();
+        checkPeriodically();
     }
 
     @Override
-    public void pass(Runnable attempt, Runnable dropped) {
+    public void pass(Runnable attempt, Runnable onDenied) {
         if (stopped) {
-            dropped.run();
+            onDenied.run();
             return;
         }
-        noticePause();
+        detectPause();
         if (verifying) {
-            held.add(new Held(attempt, dropped));
+            pendingEffects.add(new PendingEffect(attempt, onDenied));
         } else {
             attempt.run();
         }
@@ -54,34 +54,34 @@
 
     void stop() {
         stopped = true;
-        List<Held> lost = List.copyOf(held);
-        held.clear();
-        lost.forEach(each -> each.dropped().run());
+        List<PendingEffect> denied = List.copyOf(pendingEffects);
+        pendingEffects.clear();
+        denied.forEach(each -> each.onDenied().run());
     }
 
-    private void tick() {
+    private void checkPeriodically() {
         if (!stopped) {
-            noticePause();
-            lastTickNanos = loop.clock().nanos();
-            loop.schedule(TICK, this::tick);
+            detectPause();
+            lastCheckNanos = loop.clock().nanos();
+            loop.schedule(CHECK_INTERVAL, this::checkPeriodically);
         }
     }
 
-    private void noticePause() {
+    private void detectPause() {
         long now = loop.clock().nanos();
-        boolean paused = now - lastTickNanos > stall.toNanos();
+        boolean paused = now - lastCheckNanos > pauseThreshold.toNanos();
         if (!paused || verifying) {
             return;
         }
-        lastTickNanos = now;
+        lastCheckNanos = now;
         verifying = true;
-        verify.get().thenRun(() -> {
+        verifyOwnership.get().thenRun(() -> {
             verifying = false;
-            List<Held> due = List.copyOf(held);
-            held.clear();
-            due.forEach(each -> pass(each.attempt(), each.dropped()));
+            List<PendingEffect> released = List.copyOf(pendingEffects);
+            pendingEffects.clear();
+            released.forEach(each -> pass(each.attempt(), each.onDenied()));
         });
     }
 
-    private record Held(Runnable attempt, Runnable dropped) {}
+    private record PendingEffect(Runnable attempt, Runnable onDenied) {}
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/PlainCalls.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/PlainCalls.java
@@ -7,11 +7,11 @@
 
 /** Reads the results of non-repeatable service calls of callers, which are recorded as programs of a single call. */
 final class PlainCalls {
-    private static final int PARTS = 3;
+    private static final int ANSWER_FIELDS = 3;
 
     private PlainCalls() {}
 
-    static boolean is(ProgramState state) {
+    static boolean isPlainCall(ProgramState state) {
         return state.root().turns() == 0
                 && state.root().history().stream().allMatch(entry -> entry.kind() == HistoryEntry.Kind.TOOL);
     }
@@ -25,7 +25,7 @@
     }
 
     private static CallerReply answer(HistoryEntry entry) {
-        String[] parts = entry.text().split(" ", PARTS);
+        String[] parts = entry.text().split(" ", ANSWER_FIELDS);
         return new CallerReply.Answer(CallOutcome.valueOf(parts[1]), parts[2]);
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramFacts.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramFacts.java
@@ -16,7 +16,7 @@
         facts.put("generation", Long.toString(state.generation()));
         facts.put("end", state.over() ? state.end().name() : "-");
         facts.put("detail", state.detail());
-        facts.put("under_way", String.join(",", live.running().keySet()));
+        facts.put("under_way", String.join(",", live.runningSteps().keySet()));
         facts.put("agents", Integer.toString(state.agents().size()));
         facts.put("turns", state.usage().turns() + "/" + state.budget().turns());
         facts.put("tokens", state.usage().tokens() + "/" + state.budget().tokens());
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramHost.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramHost.java
@@ -26,7 +26,7 @@
 import org.parsleydrift.node.caller.CallerRequest;
 import org.parsleydrift.node.caller.RefusalKind;
 import org.parsleydrift.node.caller.ReplySink;
-import org.parsleydrift.node.manifest.ManifestInForce;
+import org.parsleydrift.node.manifest.CurrentManifest;
 import org.parsleydrift.program.ProgramEnd;
 import org.parsleydrift.program.ProgramEvent;
 import org.parsleydrift.program.ProgramId;
@@ -36,19 +36,19 @@
 /** Runs the programs that this incarnation owns and records them in its journal. Confined to the node's event loop. */
 public final class ProgramHost {
     private static final Logger LOG = System.getLogger(ProgramHost.class.getName());
-    private static final long OUTAGE_RETRY_MILLIS = 2000;
-    private static final int MAX_PROMPT = 256 * 1024;
+    private static final long OUTAGE_RETRY_AFTER_MILLIS = 2000;
+    private static final int MAX_PROMPT_CHARACTERS = 256 * 1024;
 
     private final NodeEnvironment environment;
     private final EventLoop loop;
     private final NodeSettings.Timings timings;
     private final JournalWriter journal;
-    private final ManifestInForce manifest;
-    private final StepRunner steps;
+    private final CurrentManifest manifest;
+    private final StepExecutor stepExecutor;
     private final PauseGuard guard;
-    private final EffectGate strictGate;
-    private final AdmissionDoor door;
-    private final AdoptionMarks marks;
+    private final EffectGate leaseGate;
+    private final AdmissionController admission;
+    private final AdoptionMarkers markers;
     private final Map<ProgramId, LiveProgram> programs = new LinkedHashMap<>();
     private boolean stopped;
     private boolean draining;
@@ -66,18 +66,18 @@
             NodeEnvironment environment,
             NodeSettings.Timings timings,
             JournalWriter journal,
-            ManifestInForce manifest,
+            CurrentManifest manifest,
             Upstreams upstreams) {
         this.environment = environment;
         this.loop = environment.loop();
         this.timings = timings;
         this.journal = journal;
         this.manifest = manifest;
-        this.steps = new StepRunner(environment, this, manifest, upstreams);
-        this.door = new AdmissionDoor(loop, timings, journal, manifest);
+        this.stepExecutor = new StepExecutor(environment, this, manifest, upstreams);
+        this.admission = new AdmissionController(loop, timings, journal, manifest);
         this.guard = new PauseGuard(loop, timings.pauseThreshold(), this::verifyOwnership);
-        this.strictGate = new FreshProofGate(guard, journal, timings.platformTimeout(), this::verifyOwnership);
-        this.marks = new AdoptionMarks(journal);
+        this.leaseGate = new OwnershipLeaseGate(guard, journal, timings.platformTimeout(), this::verifyOwnership);
+        this.markers = new AdoptionMarkers(journal);
     }
 
     /**
@@ -93,12 +93,12 @@
             return () -> {};
         }
         return switch (request) {
-            case CallerRequest.Start start -> begin(start, sink);
-            case CallerRequest.CallService call -> begin(call, sink);
-            case CallerRequest.Send send -> known(send, sink, live -> send(live, send, sink));
-            case CallerRequest.Attach attach -> known(attach, sink, live -> attach(live, attach.offset(), sink));
-            case CallerRequest.Cancel cancel -> known(cancel, sink, live -> cancel(live, sink));
-            case CallerRequest.Explain explain -> known(explain, sink, live -> explain(live, sink));
+            case CallerRequest.Start start -> start(start, sink);
+            case CallerRequest.CallService call -> start(call, sink);
+            case CallerRequest.Send send -> withProgram(send, sink, live -> send(live, send, sink));
+            case CallerRequest.Attach attach -> withProgram(attach, sink, live -> attach(live, attach.offset(), sink));
+            case CallerRequest.Cancel cancel -> withProgram(cancel, sink, live -> cancel(live, sink));
+            case CallerRequest.Explain explain -> withProgram(explain, sink, live -> explain(live, sink));
         };
     }
 
@@ -109,10 +109,10 @@
      * @param states states of its programs
      * @return completes when the marker is durable; fails if this journal is sealed
      */
-    public CompletableFuture<Void> takeIn(String share, List<ProgramState> states) {
-        marks.expect(share);
+    public CompletableFuture<Void> persistShare(String share, List<ProgramState> states) {
+        markers.retainJournal(share);
         states.forEach(state -> Snapshots.appendTakenIn(journal, share, state));
-        return marks.write(share);
+        return markers.write(share);
     }
 
     /**
@@ -124,13 +124,13 @@
         states.forEach(state -> {
             LiveProgram live = new LiveProgram(state);
             programs.put(state.id(), live);
-            live.oldestNeeded(1);
+            live.setOldestReferencedSegment(1);
             rewrite(live);
             if (state.over()) {
-                forgetLater(live);
+                scheduleRemoval(live);
             } else {
-                steps.settleLost(live);
-                expireLater(live);
+                stepExecutor.settleInterruptedSteps(live);
+                scheduleTimeLimit(live);
                 advance(live);
             }
         });
@@ -141,8 +141,8 @@
      *
      * @param share text of the share's id
      */
-    public void forgetMark(String share) {
-        marks.forget(share);
+    public void removeMarker(String share) {
+        markers.remove(share);
     }
 
     /** Verifies by a journal write that the journal is not sealed. */
@@ -161,9 +161,10 @@
      *
      * @return true if the journal can be sealed without interrupting a step
      */
-    public boolean quiet() {
+    public boolean isIdle() {
         return journal.idle()
-                && programs.values().stream().allMatch(live -> live.running().isEmpty());
+                && programs.values().stream()
+                        .allMatch(live -> live.runningSteps().isEmpty());
     }
 
     /** Stops all programs, since another node owns them now, and replies {@link CallerReply.Moved} to their callers. */
@@ -171,8 +172,8 @@
         stopped = true;
         guard.stop();
         programs.values().forEach(live -> {
-            live.running().values().forEach(LoopTimer::cancel);
-            live.running().clear();
+            live.runningSteps().values().forEach(LoopTimer::cancel);
+            live.runningSteps().clear();
             List.copyOf(live.attachments()).forEach(each -> each.end(new CallerReply.Moved()));
         });
         programs.clear();
@@ -195,7 +196,7 @@
      * @param id the program
      * @return false if the program has ended or is unknown
      */
-    public boolean running(ProgramId id) {
+    public boolean isRunning(ProgramId id) {
         LiveProgram live = programs.get(id);
         return live != null && !live.state().over();
     }
@@ -203,39 +204,39 @@
     /** Rewrites the programs and markers that need segments below the given sequence number. */
     void rewriteOlderThan(long sequence) {
         programs.values().stream()
-                .filter(live -> live.oldestNeeded() < sequence)
-                .filter(live -> !live.rewriting())
+                .filter(live -> live.oldestReferencedSegment() < sequence)
+                .filter(live -> !live.isRewriting())
                 .toList()
                 .forEach(this::rewrite);
-        marks.rewriteOlderThan(sequence);
+        markers.rewriteOlderThan(sequence);
     }
 
     /** Returns the lowest segment that a program or an adoption marker needs. */
-    long oldestNeeded() {
+    long oldestReferencedSegment() {
         long programsFrom = programs.values().stream()
-                .mapToLong(LiveProgram::oldestNeeded)
+                .mapToLong(LiveProgram::oldestReferencedSegment)
                 .min()
                 .orElse(Long.MAX_VALUE);
-        return Math.min(journal.sequence() + 1, Math.min(programsFrom, marks.oldestNeeded()));
+        return Math.min(journal.sequence() + 1, Math.min(programsFrom, markers.oldestReferencedSegment()));
     }
 
     private void rewrite(LiveProgram live) {
         long from = journal.sequence() + 1;
-        live.rewriting(true);
+        live.setRewriting(true);
         Snapshots.append(journal, live);
         live.durable().thenRun(() -> {
-            live.rewriting(false);
-            live.oldestNeeded(from);
+            live.setRewriting(false);
+            live.setOldestReferencedSegment(from);
         });
     }
 
-    private void expireLater(LiveProgram live) {
+    private void scheduleTimeLimit(LiveProgram live) {
         long now = loop.clock().instant().toEpochMilli();
         long end = live.state().startedMillis() + live.state().budget().seconds() * 1000L;
         loop.schedule(Duration.ofMillis(Math.max(0, end - now) + 1), () -> advance(live));
     }
 
-    boolean active(LiveProgram live) {
+    boolean isActive(LiveProgram live) {
         return !stopped && programs.get(live.state().id()) == live;
     }
 
@@ -246,61 +247,61 @@
         JournalEntry entry = journal.append(MessagePackCodec.encode(new JournalRecord.OfProgram(id, event)));
         live.apply(event, entry);
         if (!wasOver && live.state().over()) {
-            ended(live);
+            handleEnd(live);
         }
         entry.durable().thenRun(() -> advance(live));
         return entry;
     }
 
     /** Returns the gate for repeatable calls, which delays them after a pause until ownership is verified. */
-    EffectGate gate() {
+    EffectGate effectGate() {
         return guard;
     }
 
     /** Returns the gate for effects that must not follow those of a successor. */
-    EffectGate strictGate() {
-        return strictGate;
+    EffectGate leaseGate() {
+        return leaseGate;
     }
 
     /**
      * Delays a program until its former owner can no longer make a call: its lease lasts for the platform timeout, plus
      * a pause too short to be detected.
      */
-    void holdBack(LiveProgram live) {
+    void delayUntilLeaseExpiry(LiveProgram live) {
         Duration wait = timings.platformTimeout().plus(timings.pauseThreshold());
-        live.heldUntilNanos(loop.clock().nanos() + wait.toNanos());
+        live.setNotBeforeNanos(loop.clock().nanos() + wait.toNanos());
         loop.schedule(wait.plusMillis(1), () -> advance(live));
     }
 
     /** Starts the next steps of a program that are not running yet. */
     void advance(LiveProgram live) {
         Runnable begin = () -> {
-            if (active(live) && !draining && loop.clock().nanos() >= live.heldUntilNanos()) {
+            if (isActive(live) && !draining && loop.clock().nanos() >= live.notBeforeNanos()) {
                 long now = loop.clock().instant().toEpochMilli();
                 ProgramMachine.next(live.state(), now).stream()
-                        .filter(step -> !live.running().containsKey(step.key()))
+                        .filter(step -> !live.runningSteps().containsKey(step.key()))
                         .toList()
-                        .forEach(step -> steps.begin(live, step));
+                        .forEach(step -> stepExecutor.start(live, step));
             }
         };
         guard.pass(begin, () -> {});
     }
 
-    private Runnable begin(CallerRequest.Start start, ReplySink sink) {
+    private Runnable start(CallerRequest.Start start, ReplySink sink) {
         LiveProgram known = programs.get(start.id());
         if (known != null) {
-            return repeated(known, known.state().agent().equals(start.agent()), sink);
+            return acceptRepeat(known, known.state().agent().equals(start.agent()), sink);
         }
-        Optional<CallerReply.Refused> refusal = door.refusal(start.id(), start.first());
+        Optional<CallerReply.Refused> refusal = admission.refusal(start.id(), start.first());
         if (refusal.isPresent()) {
             return Refusals.refuse(sink, refusal.get());
         }
         ManifestVersion version = manifest.version();
         AgentSpec spec = manifest.manifest().agents().get(start.agent());
-        if (spec == null || start.prompt().length() > MAX_PROMPT) {
+        if (spec == null || start.prompt().length() > MAX_PROMPT_CHARACTERS) {
             String reason = spec == null
                     ? "no agent " + start.agent() + " in manifest generation " + version.generation()
-                    : "prompt has " + start.prompt().length() + " characters, limit is " + MAX_PROMPT;
+                    : "prompt has " + start.prompt().length() + " characters, limit is " + MAX_PROMPT_CHARACTERS;
             return Refusals.refuse(sink, Refusals.badRequest(reason));
         }
         var started = new ProgramEvent.Started(
@@ -311,19 +312,19 @@
                 version.generation(),
                 loop.clock().instant().toEpochMilli());
         LiveProgram live = add(ProgramMachine.start(started), started);
-        expireLater(live);
-        return whenAccepted(live, sink, () -> sink.reply(accepted(live)));
+        scheduleTimeLimit(live);
+        return replyWhenDurable(live, sink, () -> sink.reply(accepted(live)));
     }
 
-    private Runnable begin(CallerRequest.CallService call, ReplySink sink) {
+    private Runnable start(CallerRequest.CallService call, ReplySink sink) {
         LiveProgram known = programs.get(call.id());
         if (known != null) {
-            boolean same = known.state().agent().equals(call.service());
-            return same
+            boolean sameRequest = known.state().agent().equals(call.service());
+            return sameRequest
                     ? attach(known, 0, sink)
                     : Refusals.refuse(sink, Refusals.badRequest("id " + call.id() + " is used by another request"));
         }
-        Optional<CallerReply.Refused> refusal = door.refusal(call.id(), call.first());
+        Optional<CallerReply.Refused> refusal = admission.refusal(call.id(), call.first());
         if (refusal.isPresent()) {
             return Refusals.refuse(sink, refusal.get());
         }
@@ -344,7 +345,7 @@
     private LiveProgram add(ProgramState state, ProgramEvent first) {
         LiveProgram live = new LiveProgram(state);
         programs.put(state.id(), live);
-        live.oldestNeeded(journal.sequence() + 1);
+        live.setOldestReferencedSegment(journal.sequence() + 1);
         LOG.log(
                 Logger.Level.INFO,
                 LogLine.of("program_accepted")
@@ -361,7 +362,7 @@
      * Replies once all events of the program are durable. If the platform does not answer in time, the events may still
      * become durable, so the request is refused with an unknown outcome.
      */
-    private Runnable whenAccepted(LiveProgram live, ReplySink sink, Runnable reply) {
+    private Runnable replyWhenDurable(LiveProgram live, ReplySink sink, Runnable reply) {
         boolean[] replied = {false};
         live.durable().whenComplete((done, failure) -> {
             if (!replied[0]) {
@@ -381,18 +382,18 @@
                         Step.COMMIT,
                         "platform",
                         "the platform has not answered the journal write; retry with the same key",
-                        OUTAGE_RETRY_MILLIS));
+                        OUTAGE_RETRY_AFTER_MILLIS));
             }
         });
         return () -> replied[0] = true;
     }
 
-    private Runnable repeated(LiveProgram live, boolean same, ReplySink sink) {
-        if (!same) {
+    private Runnable acceptRepeat(LiveProgram live, boolean sameRequest, ReplySink sink) {
+        if (!sameRequest) {
             return Refusals.refuse(
                     sink, Refusals.badRequest("id " + live.state().id() + " is used by another request"));
         }
-        return whenAccepted(live, sink, () -> sink.reply(accepted(live)));
+        return replyWhenDurable(live, sink, () -> sink.reply(accepted(live)));
     }
 
     private static CallerReply accepted(LiveProgram live) {
@@ -408,21 +409,21 @@
             record(live, new ProgramEvent.MessageArrived(send.key(), send.text()));
             advance(live);
         }
-        return whenAccepted(live, sink, () -> sink.reply(accepted(live)));
+        return replyWhenDurable(live, sink, () -> sink.reply(accepted(live)));
     }
 
     private Runnable cancel(LiveProgram live, ReplySink sink) {
         if (!live.state().over()) {
             record(live, new ProgramEvent.Stopped(ProgramEnd.CANCELLED, "by the caller"));
         }
-        return whenAccepted(live, sink, () -> sink.reply(accepted(live)));
+        return replyWhenDurable(live, sink, () -> sink.reply(accepted(live)));
     }
 
     private Runnable attach(LiveProgram live, long offset, ReplySink sink) {
         Attachment attachment = new Attachment(sink, offset);
         live.attachments().add(attachment);
-        attachment.show(live.shown());
-        tellEnd(live);
+        attachment.sendMissing(live.visibleAnswer());
+        notifyEnd(live);
         return () -> {
             attachment.close();
             live.attachments().remove(attachment);
@@ -438,18 +439,18 @@
      * Applies an action to a program of this host. An unknown program is refused only under a lease, since a
      * partitioned node may have lost its journal to a successor that has the program.
      */
-    private Runnable known(CallerRequest request, ReplySink sink, Function<LiveProgram, Runnable> act) {
+    private Runnable withProgram(CallerRequest request, ReplySink sink, Function<LiveProgram, Runnable> action) {
         LiveProgram live = programs.get(request.id());
         if (live != null) {
-            return act.apply(live);
+            return action.apply(live);
         }
-        strictGate.pass(() -> sink.reply(Refusals.unknown(request.id())), () -> sink.reply(new CallerReply.Moved()));
+        leaseGate.pass(() -> sink.reply(Refusals.unknown(request.id())), () -> sink.reply(new CallerReply.Moved()));
         return () -> {};
     }
 
-    private void ended(LiveProgram live) {
-        live.running().values().forEach(LoopTimer::cancel);
-        live.running().clear();
+    private void handleEnd(LiveProgram live) {
+        live.runningSteps().values().forEach(LoopTimer::cancel);
+        live.runningSteps().clear();
         ProgramState state = live.state();
         LOG.log(
                 Logger.Level.INFO,
@@ -464,13 +465,13 @@
                 .meters()
                 .counter("parsleydrift.programs.ended", "end", state.end().name())
                 .increment();
-        steps.release(state.id());
-        live.durable().thenRun(() -> tellEnd(live));
-        forgetLater(live);
+        stepExecutor.release(state.id());
+        live.durable().thenRun(() -> notifyEnd(live));
+        scheduleRemoval(live);
     }
 
     /** Notifies callers of the end once it is durable; before that, a successor could reach a different end. */
-    private void tellEnd(LiveProgram live) {
+    private void notifyEnd(LiveProgram live) {
         if (!live.state().over() || !live.isDurable() || live.durable().isCompletedExceptionally()) {
             return;
         }
@@ -478,20 +479,20 @@
         String answer = state.answer();
         List<Attachment> all = new ArrayList<>(live.attachments());
         live.attachments().clear();
-        boolean plainCall = PlainCalls.is(state);
+        boolean plainCall = PlainCalls.isPlainCall(state);
         all.forEach(each -> {
             if (plainCall) {
                 each.end(PlainCalls.answer(state));
             } else {
-                each.show(answer);
+                each.sendMissing(answer);
                 each.end(new CallerReply.Ended(state.end(), state.detail(), answer.length()));
             }
         });
     }
 
-    private void forgetLater(LiveProgram live) {
+    private void scheduleRemoval(LiveProgram live) {
         loop.schedule(timings.answerRetention(), () -> {
-            if (active(live)) {
+            if (isActive(live)) {
                 programs.remove(live.state().id());
             }
         });
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Snapshots.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Snapshots.java
@@ -11,47 +11,47 @@
 
 /** Writes complete program states to a journal, with histories split into chunks that fit a segment. */
 final class Snapshots {
-    private static final int PIECE_CHARACTERS = 128 * 1024;
+    private static final int CHUNK_CHARACTERS = 128 * 1024;
 
     private Snapshots() {}
 
     /** Rewrites the state of a program that this journal already contains. */
     static void append(JournalWriter journal, LiveProgram live) {
-        ProgramState bare = appendHistories(journal, live.state());
-        live.journaled(journal.append(
-                MessagePackCodec.encode(new JournalRecord.OfProgram(bare.id(), new ProgramEvent.Restored(bare)))));
+        ProgramState withoutHistories = appendHistories(journal, live.state());
+        live.setLastEntry(journal.append(MessagePackCodec.encode(
+                new JournalRecord.OfProgram(withoutHistories.id(), new ProgramEvent.Restored(withoutHistories)))));
     }
 
     /** Writes the state of a program in a share that is being adopted. */
     static void appendTakenIn(JournalWriter journal, String share, ProgramState state) {
-        ProgramState bare = appendHistories(journal, state);
-        journal.append(MessagePackCodec.encode(new JournalRecord.TakenIn(share, bare)));
+        ProgramState withoutHistories = appendHistories(journal, state);
+        journal.append(MessagePackCodec.encode(new JournalRecord.TakenIn(share, withoutHistories)));
     }
 
-    private static ProgramState appendHistories(JournalWriter journal, ProgramState whole) {
-        ProgramState state = whole.over() ? whole.condensed() : whole;
+    private static ProgramState appendHistories(JournalWriter journal, ProgramState complete) {
+        ProgramState state = complete.over() ? complete.condensed() : complete;
         state.agents().values().stream()
-                .flatMap(agent -> pieces(state, agent).stream())
+                .flatMap(agent -> chunks(state, agent).stream())
                 .forEach(piece -> journal.append(MessagePackCodec.encode(piece)));
         return state.mapAgents(agent -> agent.withHistory(List.of()));
     }
 
-    private static List<JournalRecord> pieces(ProgramState state, AgentState agent) {
-        List<JournalRecord> pieces = new ArrayList<>();
-        List<HistoryEntry> piece = new ArrayList<>();
+    private static List<JournalRecord> chunks(ProgramState state, AgentState agent) {
+        List<JournalRecord> chunks = new ArrayList<>();
+        List<HistoryEntry> chunk = new ArrayList<>();
         int characters = 0;
         for (HistoryEntry entry : agent.history()) {
-            if (!piece.isEmpty() && characters + entry.text().length() > PIECE_CHARACTERS) {
-                pieces.add(new JournalRecord.HistoryPart(state.id(), agent.path(), List.copyOf(piece)));
-                piece.clear();
+            if (!chunk.isEmpty() && characters + entry.text().length() > CHUNK_CHARACTERS) {
+                chunks.add(new JournalRecord.HistoryPart(state.id(), agent.path(), List.copyOf(chunk)));
+                chunk.clear();
                 characters = 0;
             }
-            piece.add(entry);
+            chunk.add(entry);
             characters += entry.text().length();
         }
-        if (!piece.isEmpty()) {
-            pieces.add(new JournalRecord.HistoryPart(state.id(), agent.path(), List.copyOf(piece)));
+        if (!chunk.isEmpty()) {
+            chunks.add(new JournalRecord.HistoryPart(state.id(), agent.path(), List.copyOf(chunk)));
         }
-        return pieces;
+        return chunks;
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/StepRunner.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/StepExecutor.java
@@ -14,8 +14,8 @@
 import org.parsleydrift.manifest.Manifest;
 import org.parsleydrift.manifest.OperationSpec;
 import org.parsleydrift.node.NodeEnvironment;
-import org.parsleydrift.node.call.CallEnd;
-import org.parsleydrift.node.manifest.ManifestInForce;
+import org.parsleydrift.node.call.CallResult;
+import org.parsleydrift.node.manifest.CurrentManifest;
 import org.parsleydrift.node.placement.RunnerPool;
 import org.parsleydrift.node.placement.TurnTask;
 import org.parsleydrift.program.Action;
@@ -30,23 +30,23 @@
 import org.parsleydrift.program.ProgramStep;
 
 /** Executes the steps of programs. Confined to the node's event loop. */
-final class StepRunner {
-    private static final Logger LOG = System.getLogger(StepRunner.class.getName());
-    private static final LoopTimer NOTHING = () -> {};
-    private static final Duration BACKOFF = Duration.ofMillis(100);
+final class StepExecutor {
+    private static final Logger LOG = System.getLogger(StepExecutor.class.getName());
+    private static final LoopTimer NO_TIMER = () -> {};
+    private static final Duration INITIAL_BACKOFF = Duration.ofMillis(100);
     private static final int MAX_BACKOFF_SHIFT = 5;
     /**
      * A turn starts while at most this many earlier ones are not durable, which limits the work lost with the owner.
      */
-    private static final int MAX_UNDURABLE_TURNS = 1;
+    private static final int MAX_NON_DURABLE_TURNS = 1;
 
     private final NodeEnvironment environment;
     private final EventLoop loop;
     private final ProgramHost host;
-    private final ManifestInForce manifest;
+    private final CurrentManifest manifest;
     private final Upstreams upstreams;
 
-    StepRunner(NodeEnvironment environment, ProgramHost host, ManifestInForce manifest, Upstreams upstreams) {
+    StepExecutor(NodeEnvironment environment, ProgramHost host, CurrentManifest manifest, Upstreams upstreams) {
         this.environment = environment;
         this.loop = environment.loop();
         this.host = host;
@@ -54,10 +54,10 @@
         this.upstreams = upstreams;
     }
 
-    void begin(LiveProgram live, ProgramStep step) {
+    void start(LiveProgram live, ProgramStep step) {
         switch (step) {
-            case ProgramStep.RunTurn turn -> beginTurn(live, turn);
-            case ProgramStep.MakeCall call -> beginCall(live, call);
+            case ProgramStep.RunTurn turn -> startTurn(live, turn);
+            case ProgramStep.MakeCall call -> startCall(live, call);
             case ProgramStep.Stop stop -> host.record(live, new ProgramEvent.Stopped(stop.end(), stop.detail()));
         }
     }
@@ -71,51 +71,51 @@
      * outcome may have run, so it is not repeated and its outcome is recorded as unknown. Turns that may have been
      * running are charged their maximum, so that repeated failures of owners cannot exceed the program's budget.
      */
-    void settleLost(LiveProgram live) {
-        heads(live.state()).filter(PendingAction::intended).toList().forEach(pending -> {
-            host.holdBack(live);
+    void settleInterruptedSteps(LiveProgram live) {
+        firstPendingCalls(live.state()).filter(PendingAction::intended).toList().forEach(call -> {
+            host.delayUntilLeaseExpiry(live);
             host.record(
                     live,
                     new ProgramEvent.CallEnded(
-                            pending.id(), CallOutcome.OUTCOME_UNKNOWN, "its node was lost before the answer"));
+                            call.id(), CallOutcome.OUTCOME_UNKNOWN, "its node was lost before the answer"));
         });
         live.state().agents().values().stream()
                 .filter(AgentState::thinking)
                 .toList()
-                .forEach(agent -> chargeLost(live, agent));
+                .forEach(agent -> chargeInterruptedTurns(live, agent));
     }
 
-    private void chargeLost(LiveProgram live, AgentState agent) {
+    private void chargeInterruptedTurns(LiveProgram live, AgentState agent) {
         AgentSpec spec = manifest.manifest().agents().get(agent.agent());
-        int most = spec == null ? 0 : spec.turnTokens() * (1 + MAX_UNDURABLE_TURNS);
-        int charge = live.ledger().grant(most);
+        int maxTokens = spec == null ? 0 : spec.turnTokens() * (1 + MAX_NON_DURABLE_TURNS);
+        int charge = live.ledger().grant(maxTokens);
         if (charge > 0 && !live.state().over()) {
-            live.ledger(live.ledger().settle(0, charge));
+            live.setLedger(live.ledger().settle(0, charge));
             host.record(live, new ProgramEvent.TurnLost(agent.path(), agent.turns(), charge));
         }
     }
 
-    private static Stream<PendingAction> heads(ProgramState state) {
+    private static Stream<PendingAction> firstPendingCalls(ProgramState state) {
         return state.agents().values().stream()
                 .flatMap(agent -> agent.pending().stream().limit(1))
                 .filter(pending -> pending.action() instanceof Action.CallTool);
     }
 
-    private void beginTurn(LiveProgram live, ProgramStep.RunTurn step) {
+    private void startTurn(LiveProgram live, ProgramStep.RunTurn step) {
         AgentState agent = live.state().agents().get(step.path());
         AgentSpec spec = manifest.manifest().agents().get(agent.agent());
         if (spec == null) {
             host.record(live, new ProgramEvent.Stopped(ProgramEnd.FAILED, "no agent " + agent.agent()));
             return;
         }
-        if (live.undurableTurns(step.path()) > MAX_UNDURABLE_TURNS) {
+        if (live.nonDurableTurns(step.path()) > MAX_NON_DURABLE_TURNS) {
             return;
         }
         int granted = live.ledger().grant(spec.turnTokens());
         if (granted == 0) {
             return;
         }
-        live.ledger(live.ledger().reserve(granted));
+        live.setLedger(live.ledger().reserve(granted));
         CompletableFuture<TurnResult> done = new CompletableFuture<>();
         ProgramState state = live.state();
         TurnTask task = new TurnTask(
@@ -128,11 +128,11 @@
                 prompt(spec, agent),
                 granted,
                 state.startedMillis(),
-                text -> token(live, step, text),
+                text -> appendOutput(live, step, text),
                 done);
-        live.running().put(step.key(), NOTHING);
-        live.running().put(step.key(), upstreams.runners().submit(task));
-        done.whenComplete((result, failure) -> turnDone(live, step, granted, result, failure));
+        live.runningSteps().put(step.key(), NO_TIMER);
+        live.runningSteps().put(step.key(), upstreams.runners().submit(task));
+        done.whenComplete((result, failure) -> completeTurn(live, step, granted, result, failure));
     }
 
     private static List<String> prompt(AgentSpec spec, AgentState agent) {
@@ -141,24 +141,24 @@
                 .toList();
     }
 
-    private void token(LiveProgram live, ProgramStep.RunTurn step, String text) {
-        if (!host.active(live) || !step.path().equals(ProgramState.ROOT)) {
+    private void appendOutput(LiveProgram live, ProgramStep.RunTurn step, String text) {
+        if (!host.isActive(live) || !step.path().equals(ProgramState.ROOT)) {
             return;
         }
         live.provisional().append(text);
         live.attachments().forEach(each -> each.append(text));
     }
 
-    private void turnDone(
+    private void completeTurn(
             LiveProgram live, ProgramStep.RunTurn step, int granted, TurnResult result, Throwable failure) {
-        if (!host.active(live) || live.running().remove(step.key()) == null) {
+        if (!host.isActive(live) || live.runningSteps().remove(step.key()) == null) {
             return;
         }
         if (failure != null) {
-            turnFailed(live, step, granted, failure);
+            handleTurnFailure(live, step, granted, failure);
             return;
         }
-        live.succeeded();
+        live.resetFailures();
         if (step.path().equals(ProgramState.ROOT)
                 && !live.provisional().toString().equals(result.text())) {
             // Streamed text was lost or duplicated in transit: replace it by the text of the complete result.
@@ -166,19 +166,19 @@
             live.attachments().forEach(each -> each.append(result.text()));
         }
         int used = Math.min(granted, result.outputTokens());
-        live.ledger(live.ledger().settle(granted, used));
+        live.setLedger(live.ledger().settle(granted, used));
         try {
             List<Action> actions = result.actions().stream().map(Action::parse).toList();
             host.record(live, new ProgramEvent.TurnEnded(step.path(), step.turn(), result.text(), actions, used));
-        } catch (IllegalArgumentException nonsense) {
-            host.record(live, new ProgramEvent.Stopped(ProgramEnd.FAILED, nonsense.getMessage()));
+        } catch (IllegalArgumentException e) {
+            host.record(live, new ProgramEvent.Stopped(ProgramEnd.FAILED, e.getMessage()));
         }
         host.advance(live);
     }
 
-    private void turnFailed(LiveProgram live, ProgramStep.RunTurn step, int granted, Throwable failure) {
+    private void handleTurnFailure(LiveProgram live, ProgramStep.RunTurn step, int granted, Throwable failure) {
         int charge = RunnerPool.mayHaveRun(failure) ? granted : 0;
-        live.ledger(live.ledger().settle(granted, charge));
+        live.setLedger(live.ledger().settle(granted, charge));
         if (step.path().equals(ProgramState.ROOT)) {
             live.provisional().setLength(0);
             live.attachments().forEach(each -> each.rewind(live.answerLength()));
@@ -186,21 +186,21 @@
         if (charge > 0) {
             host.record(live, new ProgramEvent.TurnLost(step.path(), step.turn(), charge));
         }
-        live.running().put(step.key(), NOTHING);
-        Duration wait = BACKOFF.multipliedBy(1L << Math.min(MAX_BACKOFF_SHIFT, live.failedAgain()));
+        live.runningSteps().put(step.key(), NO_TIMER);
+        Duration wait = INITIAL_BACKOFF.multipliedBy(1L << Math.min(MAX_BACKOFF_SHIFT, live.recordFailure()));
         loop.schedule(wait, () -> {
-            live.running().remove(step.key());
+            live.runningSteps().remove(step.key());
             host.advance(live);
         });
     }
 
-    private void beginCall(LiveProgram live, ProgramStep.MakeCall step) {
+    private void startCall(LiveProgram live, ProgramStep.MakeCall step) {
         Manifest current = manifest.manifest();
-        OperationSpec known = current.tools().get(step.tool());
-        OperationSpec spec = known != null ? known : current.services().get(step.tool());
-        live.running().put(step.key(), NOTHING);
+        OperationSpec tool = current.tools().get(step.tool());
+        OperationSpec spec = tool != null ? tool : current.services().get(step.tool());
+        live.runningSteps().put(step.key(), NO_TIMER);
         if (spec == null) {
-            callDone(live, step, new CallEnd(CallOutcome.FAILED, "no tool " + step.tool()));
+            completeCall(live, step, new CallResult(CallOutcome.FAILED, "no tool " + step.tool()));
             return;
         }
         if (spec.repeatable()) {
@@ -208,7 +208,10 @@
             return;
         }
         if (live.state().unknown().contains(step.tool() + " " + step.arguments())) {
-            callDone(live, step, new CallEnd(CallOutcome.BLOCKED, "an earlier call of this kind has no known outcome"));
+            completeCall(
+                    live,
+                    step,
+                    new CallResult(CallOutcome.BLOCKED, "an earlier call of this kind has no known outcome"));
             return;
         }
         host.record(live, new ProgramEvent.CallIntended(step.callId()))
@@ -217,18 +220,18 @@
     }
 
     private void send(LiveProgram live, ProgramStep.MakeCall step, OperationSpec spec) {
-        if (!host.active(live) || live.state().over()) {
+        if (!host.isActive(live) || live.state().over()) {
             return;
         }
         CallRequest request = new CallRequest(step.callId(), step.tool(), step.arguments());
         upstreams
                 .calls()
-                .run(spec, request, spec.repeatable() ? host.gate() : host.strictGate())
-                .whenComplete((end, never) -> callDone(live, step, end));
+                .execute(spec, request, spec.repeatable() ? host.effectGate() : host.leaseGate())
+                .whenComplete((end, ignored) -> completeCall(live, step, end));
     }
 
-    private void callDone(LiveProgram live, ProgramStep.MakeCall step, CallEnd end) {
-        if (!host.active(live) || live.running().remove(step.key()) == null) {
+    private void completeCall(LiveProgram live, ProgramStep.MakeCall step, CallResult end) {
+        if (!host.isActive(live) || live.runningSteps().remove(step.key()) == null) {
             return;
         }
         LOG.log(
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Upstreams.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Upstreams.java
@@ -1,6 +1,6 @@
 package org.parsleydrift.node.host;
 
-import org.parsleydrift.node.call.CallRunner;
+import org.parsleydrift.node.call.CallExecutor;
 import org.parsleydrift.node.placement.RunnerPool;
 
 /**
@@ -9,4 +9,4 @@
  * @param runners places turns on model engines
  * @param calls calls tools and services
  */
-public record Upstreams(RunnerPool runners, CallRunner calls) {}
+public record Upstreams(RunnerPool runners, CallExecutor calls) {}
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/manifest/ManifestInForce.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/manifest/CurrentManifest.java
@@ -4,7 +4,7 @@
 import org.parsleydrift.manifest.ManifestVersion;
 
 /** Read access to the current manifest of this node. */
-public interface ManifestInForce {
+public interface CurrentManifest {
     /**
      * Returns the current manifest as text with its generation.
      *
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/manifest/ManifestKeeper.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/manifest/ManifestManager.java
@@ -24,11 +24,11 @@
  * Holds the current manifest. The platform stores it in one object, changed by conditional update; a node never reverts
  * to a lower generation (docs/design/manifest.md). Confined to the node's event loop.
  */
-public final class ManifestKeeper implements ManifestInForce {
+public final class ManifestManager implements CurrentManifest {
     /** Key of the manifest object on the platform. */
     public static final String KEY = "manifest/current";
 
-    private static final Logger LOG = System.getLogger(ManifestKeeper.class.getName());
+    private static final Logger LOG = System.getLogger(ManifestManager.class.getName());
     private static final Manifest EMPTY = new Manifest(null, null, Map.of(), Map.of(), null, null);
 
     private final EventLoop loop;
@@ -37,8 +37,8 @@
     private final Consumer<Manifest> onChange;
     private ManifestVersion version;
     private Manifest manifest = EMPTY;
-    private ManifestVersion noted;
-    private boolean platformSilent;
+    private ManifestVersion pendingPeerVersion;
+    private boolean platformUnavailable;
     private boolean known;
 
     /**
@@ -49,7 +49,7 @@
      * @param timeout timeout of a platform request
      * @param onChange called with each manifest that becomes current
      */
-    public ManifestKeeper(EventLoop loop, ObjectStore store, Duration timeout, Consumer<Manifest> onChange) {
+    public ManifestManager(EventLoop loop, ObjectStore store, Duration timeout, Consumer<Manifest> onChange) {
         this.loop = loop;
         this.store = store;
         this.timeout = timeout;
@@ -81,7 +81,7 @@
      *
      * @return true after the first answer from the platform, or a manifest from a peer if the platform is unavailable
      */
-    public boolean known() {
+    public boolean isKnown() {
         return known;
     }
 
@@ -93,18 +93,18 @@
      * @param peer the peer's incarnation, for the log
      */
     public void offerFromPeer(ManifestVersion found, String peer) {
-        if (known || platformSilent) {
-            offer(found, peer);
-        } else if (noted == null || noted.generation() < found.generation()) {
-            noted = found;
+        if (known || platformUnavailable) {
+            activateIfNewer(found, peer);
+        } else if (pendingPeerVersion == null || pendingPeerVersion.generation() < found.generation()) {
+            pendingPeerVersion = found;
         }
     }
 
     /** Records that the platform did not answer, and activates the newest manifest that a peer has sent. */
-    public void platformSilent() {
-        platformSilent = true;
-        if (noted != null) {
-            offer(noted, "peers");
+    public void markPlatformUnavailable() {
+        platformUnavailable = true;
+        if (pendingPeerVersion != null) {
+            activateIfNewer(pendingPeerVersion, "peers");
         }
     }
 
@@ -116,7 +116,7 @@
      * @return true if it replaced the previous manifest
      * @throws StepException if the text is not a valid manifest
      */
-    public boolean offer(ManifestVersion found, String source) {
+    public boolean activateIfNewer(ManifestVersion found, String source) {
         if (found.generation() <= generation()) {
             return false;
         }
@@ -140,11 +140,11 @@
      * @return completes with true if the current manifest changed; fails if the platform does not answer
      */
     public CompletableFuture<Boolean> refresh() {
-        return bounded(store.read(KEY))
+        return withTimeout(store.read(KEY))
                 .thenApplyAsync(
                         found -> {
                             known = true;
-                            return found.map(object -> offer(decode(object), "platform"))
+                            return found.map(object -> activateIfNewer(decode(object), "platform"))
                                     .orElse(false);
                         },
                         loop);
@@ -160,15 +160,16 @@
      */
     public CompletableFuture<ManifestVersion> submit(String text, long expected) {
         ManifestParser.parse("manifest", text);
-        return bounded(store.read(KEY))
+        return withTimeout(store.read(KEY))
                 .thenComposeAsync(
                         found -> {
-                            long present = found.map(object -> decode(object).generation())
+                            long currentGeneration = found.map(
+                                            object -> decode(object).generation())
                                     .orElse(0L);
-                            if (expected >= 0 && expected != present) {
-                                return CompletableFuture.failedFuture(raced(present));
+                            if (expected >= 0 && expected != currentGeneration) {
+                                return CompletableFuture.failedFuture(generationConflict(currentGeneration));
                             }
-                            return write(found, new ManifestVersion(present + 1, text));
+                            return write(found, new ManifestVersion(currentGeneration + 1, text));
                         },
                         loop);
     }
@@ -178,14 +179,14 @@
         CompletableFuture<Long> written = found.isEmpty()
                 ? store.create(KEY, bytes)
                 : store.update(KEY, found.get().version(), bytes);
-        return bounded(written)
+        return withTimeout(written)
                 .handleAsync(
                         (done, failure) -> {
                             if (failure == null) {
-                                offer(next, "submit");
+                                activateIfNewer(next, "submit");
                                 return CompletableFuture.completedFuture(next);
                             }
-                            return confirm(next, failure);
+                            return verifyWrite(next, failure);
                         },
                         loop)
                 .thenCompose(result -> result);
@@ -195,39 +196,39 @@
      * Reads the manifest back after a conflict or a lost answer, since an update whose answer was lost may have taken
      * effect.
      */
-    private CompletableFuture<ManifestVersion> confirm(ManifestVersion mine, Throwable failure) {
+    private CompletableFuture<ManifestVersion> verifyWrite(ManifestVersion submitted, Throwable failure) {
         if (StoreException.of(failure) == StoreFailure.REFUSED) {
             return CompletableFuture.failedFuture(failure);
         }
-        return bounded(store.read(KEY))
+        return withTimeout(store.read(KEY))
                 .thenComposeAsync(
                         found -> {
-                            ManifestVersion there =
-                                    found.map(ManifestKeeper::decode).orElse(null);
-                            if (mine.equals(there)) {
-                                offer(mine, "submit");
-                                return CompletableFuture.completedFuture(mine);
+                            ManifestVersion stored =
+                                    found.map(ManifestManager::decode).orElse(null);
+                            if (submitted.equals(stored)) {
+                                activateIfNewer(submitted, "submit");
+                                return CompletableFuture.completedFuture(submitted);
                             }
                             return CompletableFuture.failedFuture(
-                                    there != null && there.generation() >= mine.generation()
-                                            ? raced(there.generation())
+                                    stored != null && stored.generation() >= submitted.generation()
+                                            ? generationConflict(stored.generation())
                                             : failure);
                         },
                         loop);
     }
 
-    private static StepException raced(long present) {
+    private static StepException generationConflict(long currentGeneration) {
         return new StepException(
                 Step.MANIFEST,
                 "platform",
-                "manifest rejected: generation " + present + " is already stored; read it and submit again");
+                "manifest rejected: generation " + currentGeneration + " is already stored; read it and submit again");
     }
 
     private static ManifestVersion decode(StoredObject object) {
         return MessagePackCodec.decode(object.value(), ManifestVersion.class, "platform");
     }
 
-    private <T> CompletableFuture<T> bounded(CompletableFuture<T> answer) {
+    private <T> CompletableFuture<T> withTimeout(CompletableFuture<T> answer) {
         return Deadline.bound(loop, answer, timeout, KEY);
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/FailureDetector.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/FailureDetector.java
@@ -25,20 +25,20 @@
  */
 public final class FailureDetector {
     private static final Logger LOG = System.getLogger(FailureDetector.class.getName());
-    private static final int ISOLATED_FACTOR = 3;
-    private static final Duration CHECK_PERIOD = Duration.ofMillis(100);
+    private static final int ISOLATED_TIMEOUT_FACTOR = 3;
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
     private final EventLoop loop;
     private final NodeRecord selfRecord;
     private final String self;
     private final NodeSettings.Timings timings;
-    private final Supplier<List<NodeRecord>> unsealed;
+    private final Supplier<List<NodeRecord>> unsealedPeers;
     private final BiConsumer<NodeRecord, PeerMessage> send;
     private final LongSupplier generation;
     private final Consumer<NodeRecord> onDead;
-    private final Consumer<NodeRecord> onSilent;
-    private final Map<String, Long> heardNanos = new HashMap<>();
-    private final Map<String, Long> vouchedNanos = new HashMap<>();
+    private final Consumer<NodeRecord> onSuspect;
+    private final Map<String, Long> lastHeartbeatNanos = new HashMap<>();
+    private final Map<String, Long> lastProbeAnswerNanos = new HashMap<>();
     private final Map<String, Long> suspectedNanos = new HashMap<>();
     private HeartbeatRing ring;
     private Set<String> watched = Set.of();
@@ -51,32 +51,32 @@
      * @param loop the node's event loop
      * @param selfRecord this node's record
      * @param timings heartbeat interval and timeouts
-     * @param unsealed supplies the other nodes whose journals are not sealed
+     * @param unsealedPeers supplies the other nodes whose journals are not sealed
      * @param send sends a message to a node
      * @param generation supplies the manifest generation announced in heartbeats
      * @param onDead called with a failed node whose journal this node should seal; repeated until it is sealed
-     * @param onSilent called with a newly suspected node, so that a new connection to it is tried
+     * @param onSuspect called with a newly suspected node, so that a new connection to it is tried
      */
     public FailureDetector(
             EventLoop loop,
             NodeRecord selfRecord,
             NodeSettings.Timings timings,
-            Supplier<List<NodeRecord>> unsealed,
+            Supplier<List<NodeRecord>> unsealedPeers,
             BiConsumer<NodeRecord, PeerMessage> send,
             LongSupplier generation,
             Consumer<NodeRecord> onDead,
-            Consumer<NodeRecord> onSilent) {
+            Consumer<NodeRecord> onSuspect) {
         this.loop = loop;
         this.selfRecord = selfRecord;
         this.self = selfRecord.incarnation();
         this.timings = timings;
-        this.unsealed = unsealed;
+        this.unsealedPeers = unsealedPeers;
         this.send = send;
         this.generation = generation;
         this.onDead = onDead;
-        this.onSilent = onSilent;
+        this.onSuspect = onSuspect;
         this.lastCheckNanos = loop.clock().nanos();
-        beat();
+        sendHeartbeats();
         check();
     }
 
@@ -90,8 +90,8 @@
      *
      * @param incarnation the sender
      */
-    public void heard(String incarnation) {
-        heardNanos.put(incarnation, loop.clock().nanos());
+    public void recordHeartbeat(String incarnation) {
+        lastHeartbeatNanos.put(incarnation, loop.clock().nanos());
         suspectedNanos.remove(incarnation);
     }
 
@@ -101,8 +101,8 @@
      *
      * @param incarnation the node that was probed
      */
-    public void vouched(String incarnation) {
-        vouchedNanos.put(incarnation, loop.clock().nanos());
+    public void recordProbeAnswer(String incarnation) {
+        lastProbeAnswerNanos.put(incarnation, loop.clock().nanos());
         suspectedNanos.remove(incarnation);
     }
 
@@ -112,9 +112,9 @@
      * @param incarnation the node
      * @return true for live nodes, for this node, and for nodes not asked about before
      */
-    public boolean hears(String incarnation) {
+    public boolean isAlive(String incarnation) {
         return incarnation.equals(self)
-                || silence(incarnation) < timings.suspectTimeout().toNanos();
+                || nanosSinceHeartbeat(incarnation) < timings.suspectTimeout().toNanos();
     }
 
     /**
@@ -123,27 +123,27 @@
      * @param incarnation the other node
      * @return true if the other node sends its heartbeats to this one
      */
-    public boolean watches(String incarnation) {
+    public boolean isWatching(String incarnation) {
         return watched.contains(incarnation);
     }
 
-    private void beat() {
+    private void sendHeartbeats() {
         if (stopped) {
             return;
         }
-        standOnRing();
-        PeerMessage beat = new PeerMessage.Heartbeat(generation.getAsLong());
-        ring.watchers(self).forEach(record -> send.accept(record, beat));
-        loop.schedule(timings.heartbeatInterval(), this::beat);
+        updateRing();
+        PeerMessage heartbeat = new PeerMessage.Heartbeat(generation.getAsLong());
+        ring.watchers(self).forEach(record -> send.accept(record, heartbeat));
+        loop.schedule(timings.heartbeatInterval(), this::sendHeartbeats);
     }
 
     /** Updates the neighbours. A newly watched node counts as alive: its earlier heartbeats went to other watchers. */
-    private void standOnRing() {
-        ring = HeartbeatRing.of(selfRecord, unsealed.get());
-        Set<String> now =
+    private void updateRing() {
+        ring = HeartbeatRing.of(selfRecord, unsealedPeers.get());
+        Set<String> neighbours =
                 ring.watched(self).stream().map(NodeRecord::incarnation).collect(Collectors.toSet());
-        now.stream().filter(node -> !watched.contains(node)).forEach(this::heard);
-        watched = now;
+        neighbours.stream().filter(node -> !watched.contains(node)).forEach(this::recordHeartbeat);
+        watched = neighbours;
     }
 
     private void check() {
@@ -154,49 +154,49 @@
         if (now - lastCheckNanos > timings.suspectTimeout().toNanos() / 2) {
             // This node was paused and received no messages. Counting the pause as missed heartbeats would seal the
             // journals of healthy nodes.
-            heardNanos.replaceAll((peer, heard) -> now);
+            lastHeartbeatNanos.replaceAll((peer, lastHeartbeat) -> now);
             suspectedNanos.clear();
         }
         lastCheckNanos = now;
-        unsealed.get().stream()
+        unsealedPeers.get().stream()
                 .filter(record -> watched.contains(record.incarnation()))
                 .toList()
-                .forEach(this::judge);
-        loop.schedule(CHECK_PERIOD, this::check);
+                .forEach(this::evaluate);
+        loop.schedule(CHECK_INTERVAL, this::check);
     }
 
-    private void judge(NodeRecord peer) {
+    private void evaluate(NodeRecord peer) {
         long now = loop.clock().nanos();
-        long vouched = vouchedNanos.getOrDefault(peer.incarnation(), Long.MIN_VALUE / 2);
-        long silence = Math.min(silence(peer.incarnation()), now - vouched);
-        if (silence < timings.suspectTimeout().toNanos()) {
+        long probeAnsweredNanos = lastProbeAnswerNanos.getOrDefault(peer.incarnation(), Long.MIN_VALUE / 2);
+        long silenceNanos = Math.min(nanosSinceHeartbeat(peer.incarnation()), now - probeAnsweredNanos);
+        if (silenceNanos < timings.suspectTimeout().toNanos()) {
             return;
         }
         if (!suspectedNanos.containsKey(peer.incarnation())) {
             suspectedNanos.put(peer.incarnation(), now);
-            suspect(peer, silence);
+            suspect(peer, silenceNanos);
             return;
         }
-        boolean isolated =
-                unsealed.get().size() > 1 && unsealed.get().stream().noneMatch(other -> hears(other.incarnation()));
-        if (isolated && silence < timings.suspectTimeout().toNanos() * ISOLATED_FACTOR) {
+        boolean isolated = unsealedPeers.get().size() > 1
+                && unsealedPeers.get().stream().noneMatch(other -> isAlive(other.incarnation()));
+        if (isolated && silenceNanos < timings.suspectTimeout().toNanos() * ISOLATED_TIMEOUT_FACTOR) {
             return;
         }
-        long waited = now - suspectedNanos.get(peer.incarnation());
-        if (waited >= timings.probeTimeout().toNanos() * (1 + rank(peer.incarnation()))) {
+        long suspectedForNanos = now - suspectedNanos.get(peer.incarnation());
+        if (suspectedForNanos >= timings.probeTimeout().toNanos() * (1 + rank(peer.incarnation()))) {
             suspectedNanos.put(peer.incarnation(), now);
             onDead.accept(peer);
         }
     }
 
-    private void suspect(NodeRecord peer, long silence) {
+    private void suspect(NodeRecord peer, long silenceNanos) {
         LOG.log(
                 Logger.Level.WARNING,
                 LogLine.of("node_suspect")
                         .with("node", peer.incarnation())
-                        .with("silent_ms", silence / 1_000_000)
+                        .with("silent_ms", silenceNanos / 1_000_000)
                         .toString());
-        onSilent.accept(peer);
+        onSuspect.accept(peer);
         ring.watchers(peer.incarnation()).stream()
                 .filter(other -> !other.incarnation().equals(self))
                 .forEach(other -> send.accept(other, new PeerMessage.Probe(peer.incarnation())));
@@ -208,12 +208,12 @@
         Comparator<String> order = Comparator.comparingLong(node -> hash.hashChars(node + suspect));
         return ring.watchers(suspect).stream()
                 .map(NodeRecord::incarnation)
-                .filter(node -> !node.equals(self) && hears(node) && order.compare(node, self) < 0)
+                .filter(node -> !node.equals(self) && isAlive(node) && order.compare(node, self) < 0)
                 .count();
     }
 
-    private long silence(String incarnation) {
+    private long nanosSinceHeartbeat(String incarnation) {
         long now = loop.clock().nanos();
-        return now - heardNanos.computeIfAbsent(incarnation, any -> now);
+        return now - lastHeartbeatNanos.computeIfAbsent(incarnation, any -> now);
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/HeartbeatRing.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/HeartbeatRing.java
@@ -13,7 +13,7 @@
  * so that some survive the failure of a zone.
  */
 final class HeartbeatRing {
-    private static final int WATCHERS = 8;
+    private static final int WATCHERS_PER_NODE = 8;
 
     private final List<NodeRecord> ring;
 
@@ -40,12 +40,12 @@
 
     private List<NodeRecord> neighbours(String incarnation, int direction) {
         int size = ring.size();
-        int place = IntStream.range(0, size)
+        int position = IntStream.range(0, size)
                 .filter(i -> ring.get(i).incarnation().equals(incarnation))
                 .findFirst()
                 .orElse(0);
-        return IntStream.rangeClosed(1, Math.min(WATCHERS, size - 1))
-                .mapToObj(i -> ring.get(Math.floorMod(place + direction * i, size)))
+        return IntStream.rangeClosed(1, Math.min(WATCHERS_PER_NODE, size - 1))
+                .mapToObj(i -> ring.get(Math.floorMod(position + direction * i, size)))
                 .toList();
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/NodeRecord.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/NodeRecord.java
@@ -47,7 +47,7 @@
      *
      * @return true if the incarnation can no longer write
      */
-    public boolean over() {
+    public boolean hasSealedJournal() {
         return !shares.isEmpty();
     }
 
@@ -56,8 +56,8 @@
      *
      * @return false also while the journal is not sealed
      */
-    public boolean handedOver() {
-        return over() && shares.stream().allMatch(JournalShare::adopted);
+    public boolean hasAllSharesAdopted() {
+        return hasSealedJournal() && shares.stream().allMatch(JournalShare::adopted);
     }
 
     /**
@@ -86,7 +86,7 @@
      * @return the copy, or this record if it already has shares
      */
     public NodeRecord withSeal(Seal seal) {
-        return over()
+        return hasSealedJournal()
                 ? this
                 : new NodeRecord(
                         incarnation,
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/NodeRegistry.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/NodeRegistry.java
@@ -27,7 +27,7 @@
     private final Consumer<NodeRecord> onChange;
     private final Map<String, NodeRecord> records = new HashMap<>();
     private final Map<String, Long> versions = new HashMap<>();
-    private CompletableFuture<Void> refreshing;
+    private CompletableFuture<Void> pendingRefresh;
     private boolean loaded;
 
     /**
@@ -67,7 +67,7 @@
      *
      * @return true after the first complete refresh
      */
-    public boolean loaded() {
+    public boolean isLoaded() {
         return loaded;
     }
 
@@ -77,12 +77,12 @@
      * @return completes when the records are read; fails if the platform does not answer
      */
     public CompletableFuture<Void> refresh() {
-        if (refreshing == null) {
-            CompletableFuture<Void> started = bounded(environment.store().list(NodeRecord.prefix()))
+        if (pendingRefresh == null) {
+            CompletableFuture<Void> started = withTimeout(environment.store().list(NodeRecord.prefix()))
                     .thenComposeAsync(this::readChanged, environment.loop());
-            refreshing = started.whenCompleteAsync((done, failure) -> refreshing = null, environment.loop());
+            pendingRefresh = started.whenCompleteAsync((done, failure) -> pendingRefresh = null, environment.loop());
         }
-        return refreshing;
+        return pendingRefresh;
     }
 
     /**
@@ -91,10 +91,10 @@
      *
      * @return completes when the records are read; fails if the platform does not answer
      */
-    public CompletableFuture<Void> refreshAnew() {
-        return refreshing == null
+    public CompletableFuture<Void> refreshAgain() {
+        return pendingRefresh == null
                 ? refresh()
-                : refreshing
+                : pendingRefresh
                         .handleAsync((done, failure) -> refresh(), environment.loop())
                         .thenCompose(each -> each);
     }
@@ -107,8 +107,8 @@
      */
     public CompletableFuture<Void> create(NodeRecord record) {
         String key = NodeRecord.key(record.incarnation());
-        return bounded(environment.store().create(key, MessagePackCodec.encode(record)))
-                .thenAcceptAsync(version -> take(key, version, record), environment.loop());
+        return withTimeout(environment.store().create(key, MessagePackCodec.encode(record)))
+                .thenAcceptAsync(version -> apply(key, version, record), environment.loop());
     }
 
     /**
@@ -121,7 +121,7 @@
      */
     public CompletableFuture<NodeRecord> change(String incarnation, UnaryOperator<NodeRecord> change) {
         String key = NodeRecord.key(incarnation);
-        return bounded(environment.store().read(key))
+        return withTimeout(environment.store().read(key))
                 .thenComposeAsync(
                         found -> found.isEmpty()
                                 ? CompletableFuture.failedFuture(new StoreException(StoreFailure.ABSENT, key))
@@ -134,14 +134,14 @@
         NodeRecord before = decode(found);
         NodeRecord after = change.apply(before);
         if (after.equals(before)) {
-            take(found.key(), found.version(), before);
+            apply(found.key(), found.version(), before);
             return CompletableFuture.completedFuture(before);
         }
-        return bounded(environment.store().update(found.key(), found.version(), MessagePackCodec.encode(after)))
+        return withTimeout(environment.store().update(found.key(), found.version(), MessagePackCodec.encode(after)))
                 .handleAsync(
                         (version, failure) -> {
                             if (failure == null) {
-                                take(found.key(), version, after);
+                                apply(found.key(), version, after);
                                 return CompletableFuture.completedFuture(after);
                             }
                             return StoreException.of(failure) == StoreFailure.CONFLICT
@@ -155,17 +155,17 @@
     private CompletableFuture<Void> readChanged(List<StoredObject> rows) {
         List<CompletableFuture<Void>> reads = rows.stream()
                 .filter(row -> !Objects.equals(versions.get(row.key()), row.version()))
-                .map(row -> bounded(environment.store().read(row.key()))
+                .map(row -> withTimeout(environment.store().read(row.key()))
                         .thenAcceptAsync(
-                                found ->
-                                        found.ifPresent(object -> take(object.key(), object.version(), decode(object))),
+                                found -> found.ifPresent(
+                                        object -> apply(object.key(), object.version(), decode(object))),
                                 environment.loop()))
                 .toList();
         return CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new))
                 .thenRunAsync(() -> loaded = true, environment.loop());
     }
 
-    private void take(String key, long version, NodeRecord record) {
+    private void apply(String key, long version, NodeRecord record) {
         if (versions.getOrDefault(key, 0L) >= version) {
             return;
         }
@@ -177,7 +177,7 @@
                         .with("node", record.incarnation())
                         .with("version", version)
                         .with("draining", record.draining())
-                        .with("sealed", record.over())
+                        .with("sealed", record.hasSealedJournal())
                         .toString());
         onChange.accept(record);
     }
@@ -186,7 +186,7 @@
         return MessagePackCodec.decode(object.value(), NodeRecord.class, "platform");
     }
 
-    private <T> CompletableFuture<T> bounded(CompletableFuture<T> answer) {
+    private <T> CompletableFuture<T> withTimeout(CompletableFuture<T> answer) {
         return Deadline.bound(environment.loop(), answer, timings.platformTimeout(), NodeRecord.prefix());
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/ownership/OwnerDirectory.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/ownership/OwnerDirectory.java
@@ -37,7 +37,7 @@
      *
      * @param share the share
      */
-    public void adopted(ShareId share) {
+    public void markAdopted(ShareId share) {
         adopted.add(share);
     }
 
@@ -45,9 +45,9 @@
      * Returns whether a share is durable in this node's journal.
      *
      * @param share the share
-     * @return true after {@link #adopted(ShareId)}
+     * @return true after {@link #markAdopted(ShareId)}
      */
-    public boolean holds(ShareId share) {
+    public boolean hasAdopted(ShareId share) {
         return adopted.contains(share);
     }
 
@@ -68,8 +68,8 @@
      * @param id the program
      * @return true if this node can serve requests about the program
      */
-    public boolean ready(ProgramId id) {
-        Walk walk = walk(id);
+    public boolean canServe(ProgramId id) {
+        OwnerChain walk = follow(id);
         return walk.chain.getLast().equals(self) && (walk.pending.isEmpty() || adopted.contains(walk.pending.get()));
     }
 
@@ -80,15 +80,15 @@
      * @return incarnations in order, from the one named in the program's id to the owner
      */
     public List<String> chain(ProgramId id) {
-        return walk(id).chain;
+        return follow(id).chain;
     }
 
-    private Walk walk(ProgramId id) {
+    private OwnerChain follow(ProgramId id) {
         List<String> chain = new ArrayList<>();
         String text = id.toString();
         String current = id.journal();
         chain.add(current);
-        Optional<NodeRecord> record = registry.find(current).filter(NodeRecord::over);
+        Optional<NodeRecord> record = registry.find(current).filter(NodeRecord::hasSealedJournal);
         while (record.isPresent()) {
             int slot = record.get().slot(text);
             JournalShare share = record.get().shares().get(slot);
@@ -96,12 +96,12 @@
             current = share.holder();
             chain.add(current);
             if (!share.adopted()) {
-                return new Walk(chain, Optional.of(shareId));
+                return new OwnerChain(chain, Optional.of(shareId));
             }
-            record = registry.find(current).filter(NodeRecord::over);
+            record = registry.find(current).filter(NodeRecord::hasSealedJournal);
         }
-        return new Walk(chain, Optional.empty());
+        return new OwnerChain(chain, Optional.empty());
     }
 
-    private record Walk(List<String> chain, Optional<ShareId> pending) {}
+    private record OwnerChain(List<String> chain, Optional<ShareId> pending) {}
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/ownership/Takeover.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/ownership/Takeover.java
@@ -32,7 +32,7 @@
  */
 public final class Takeover {
     private static final Logger LOG = System.getLogger(Takeover.class.getName());
-    private static final Duration RETRY = Duration.ofMillis(300);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
     private final EventLoop loop;
     private final String self;
@@ -40,22 +40,23 @@
     private final NodeRegistry registry;
     private final OwnerDirectory directory;
     private final ProgramHost host;
-    private final Surroundings surroundings;
+    private final ClusterView cluster;
     private final Set<String> sealing = new HashSet<>();
-    private final Set<ShareId> busy = new HashSet<>();
+    private final Set<ShareId> inProgress = new HashSet<>();
     private boolean stopped;
 
     /**
      * Access to the state of the cluster.
      *
-     * @param takers supplies the incarnations that accept work
-     * @param leads tests whether this node is responsible for a subject
-     * @param tellChange notifies the peers that node records changed
+     * @param acceptingNodes supplies the incarnations that accept work
+     * @param isResponsibleFor tests whether this node is responsible for a subject
+     * @param notifyRegistryChange notifies the peers that node records changed
      */
-    public record Surroundings(Supplier<List<String>> takers, Predicate<String> leads, Runnable tellChange) {}
+    public record ClusterView(
+            Supplier<List<String>> acceptingNodes, Predicate<String> isResponsibleFor, Runnable notifyRegistryChange) {}
 
     /**
-     * Creates a takeover that is idle until {@link #seal} or {@link #work} is called.
+     * Creates a takeover that is idle until {@link #seal} or {@link #processShares} is called.
      *
      * @param loop the node's event loop
      * @param self name of this incarnation
@@ -63,7 +64,7 @@
      * @param registry the node records
      * @param directory records adopted shares
      * @param host runs the adopted programs
-     * @param surroundings state of the cluster
+     * @param cluster state of the cluster
      */
     public Takeover(
             EventLoop loop,
@@ -72,14 +73,14 @@
             NodeRegistry registry,
             OwnerDirectory directory,
             ProgramHost host,
-            Surroundings surroundings) {
+            ClusterView cluster) {
         this.loop = loop;
         this.self = self;
         this.reader = reader;
         this.registry = registry;
         this.directory = directory;
         this.host = host;
-        this.surroundings = surroundings;
+        this.cluster = cluster;
     }
 
     /** Stops seals and adoptions; a running adoption no longer resumes its programs. */
@@ -111,7 +112,7 @@
                             if (failure != null) {
                                 throw new CompletionException(failure);
                             }
-                            surroundings.tellChange().run();
+                            cluster.notifyRegistryChange().run();
                             return null;
                         },
                         loop);
@@ -129,41 +130,42 @@
     }
 
     /** Adopts, confirms or reassigns the shares of sealed journals that this node is responsible for. */
-    public void work() {
+    public void processShares() {
         if (stopped) {
             return;
         }
         registry.records().values().stream()
-                .filter(record -> record.over() && !record.handedOver())
+                .filter(record -> record.hasSealedJournal() && !record.hasAllSharesAdopted())
                 .toList()
                 .forEach(record -> IntStream.range(0, record.shares().size())
                         .filter(slot -> !record.shares().get(slot).adopted())
-                        .forEach(slot -> workOn(record, slot)));
+                        .forEach(slot -> processShare(record, slot)));
     }
 
-    private void workOn(NodeRecord record, int slot) {
+    private void processShare(NodeRecord record, int slot) {
         JournalShare share = record.shares().get(slot);
         ShareId id = new ShareId(record.incarnation(), slot);
-        boolean mine = share.holder().equals(self);
-        boolean holderGone = registry.find(share.holder()).map(NodeRecord::over).orElse(false);
-        if (mine && directory.holds(id)) {
-            once(id, () -> confirm(id, share));
-        } else if (mine) {
-            once(id, () -> adopt(record, id, share));
-        } else if (holderGone && surroundings.leads().test(record.incarnation())) {
-            once(id, () -> giveOn(id, share));
+        boolean isHolder = share.holder().equals(self);
+        boolean holderSealed =
+                registry.find(share.holder()).map(NodeRecord::hasSealedJournal).orElse(false);
+        if (isHolder && directory.hasAdopted(id)) {
+            runUnlessInProgress(id, () -> confirmAdoption(id, share));
+        } else if (isHolder) {
+            runUnlessInProgress(id, () -> adopt(record, id, share));
+        } else if (holderSealed && cluster.isResponsibleFor().test(record.incarnation())) {
+            runUnlessInProgress(id, () -> reassign(id, share));
         }
     }
 
     /** Runs a task unless one is in progress for the same share, then schedules the next pass over all shares. */
-    private void once(ShareId id, Supplier<CompletableFuture<Void>> work) {
-        if (!busy.add(id)) {
+    private void runUnlessInProgress(ShareId id, Supplier<CompletableFuture<Void>> task) {
+        if (!inProgress.add(id)) {
             return;
         }
-        work.get()
+        task.get()
                 .whenCompleteAsync(
                         (done, failure) -> {
-                            busy.remove(id);
+                            inProgress.remove(id);
                             if (failure != null && !stopped) {
                                 LOG.log(
                                         Logger.Level.WARNING,
@@ -172,7 +174,7 @@
                                                 .failure(failure)
                                                 .toString());
                             }
-                            loop.schedule(RETRY, this::work);
+                            loop.schedule(RETRY_DELAY, this::processShares);
                         },
                         loop);
     }
@@ -184,7 +186,7 @@
      * unchanged.
      */
     private CompletableFuture<Void> adopt(NodeRecord record, ShareId id, JournalShare share) {
-        long begun = loop.clock().nanos();
+        long startNanos = loop.clock().nanos();
         return reader.read(id.journal())
                 .thenComposeAsync(
                         segments -> {
@@ -195,7 +197,7 @@
                                     .toList();
                             return stopped
                                     ? CompletableFuture.<List<ProgramState>>completedFuture(List.of())
-                                    : host.takeIn(id.toString(), states).thenApply(done -> states);
+                                    : host.persistShare(id.toString(), states).thenApply(done -> states);
                         },
                         loop)
                 .thenComposeAsync(
@@ -203,7 +205,7 @@
                             if (stopped) {
                                 return CompletableFuture.<Void>completedFuture(null);
                             }
-                            directory.adopted(id);
+                            directory.markAdopted(id);
                             host.resume(states);
                             LOG.log(
                                     Logger.Level.INFO,
@@ -211,18 +213,18 @@
                                             .with("node", self)
                                             .with("share", id)
                                             .with("programs", states.size())
-                                            .with("ms", (loop.clock().nanos() - begun) / 1_000_000)
+                                            .with("ms", (loop.clock().nanos() - startNanos) / 1_000_000)
                                             .toString());
-                            return confirm(id, share);
+                            return confirmAdoption(id, share);
                         },
                         loop);
     }
 
-    private CompletableFuture<Void> confirm(ShareId id, JournalShare share) {
+    private CompletableFuture<Void> confirmAdoption(ShareId id, JournalShare share) {
         return registry.change(id.journal(), record -> record.withShare(id.slot(), share, new JournalShare(self, true)))
                 .thenAcceptAsync(
                         record -> {
-                            host.forgetMark(id.toString());
+                            host.removeMarker(id.toString());
                             deleteIfHandedOver(record);
                         },
                         loop);
@@ -233,19 +235,21 @@
      * marker, the share was adopted there; otherwise none of its programs ran there, and another node becomes the
      * holder.
      */
-    private CompletableFuture<Void> giveOn(ShareId id, JournalShare share) {
-        List<String> takers = surroundings.takers().get();
-        if (takers.isEmpty()) {
+    private CompletableFuture<Void> reassign(ShareId id, JournalShare share) {
+        List<String> candidates = cluster.acceptingNodes().get();
+        if (candidates.isEmpty()) {
             return CompletableFuture.completedFuture(null);
         }
         return reader.read(share.holder())
                 .thenComposeAsync(
                         segments -> {
                             requireSealed(share.holder(), segments);
-                            boolean taken = JournalReplay.of(segments).adopted().contains(id.toString());
-                            String next = takers.get(Math.floorMod(id.hashCode(), takers.size()));
-                            JournalShare after =
-                                    taken ? new JournalShare(share.holder(), true) : new JournalShare(next, false);
+                            boolean alreadyAdopted =
+                                    JournalReplay.of(segments).adopted().contains(id.toString());
+                            String newHolder = candidates.get(Math.floorMod(id.hashCode(), candidates.size()));
+                            JournalShare after = alreadyAdopted
+                                    ? new JournalShare(share.holder(), true)
+                                    : new JournalShare(newHolder, false);
                             LOG.log(
                                     Logger.Level.INFO,
                                     LogLine.of("share_reassigned")
@@ -257,7 +261,7 @@
                             return registry.change(id.journal(), record -> record.withShare(id.slot(), share, after));
                         },
                         loop)
-                .thenRunAsync(surroundings.tellChange(), loop);
+                .thenRunAsync(cluster.notifyRegistryChange(), loop);
     }
 
     /**
@@ -266,10 +270,10 @@
      * needed only while a share of another journal has this incarnation as its holder and is not adopted.
      */
     private void deleteIfHandedOver(NodeRecord record) {
-        boolean marksNeeded = registry.records().values().stream()
+        boolean markersNeeded = registry.records().values().stream()
                 .flatMap(other -> other.shares().stream())
                 .anyMatch(share -> !share.adopted() && share.holder().equals(record.incarnation()));
-        if (!stopped && record.handedOver() && !marksNeeded) {
+        if (!stopped && record.hasAllSharesAdopted() && !markersNeeded) {
             reader.deleteAllButSeal(record.incarnation()).exceptionally(failure -> null);
         }
     }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/PlacementPolicy.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/PlacementPolicy.java
@@ -21,9 +21,9 @@
      * @param address address of the runner
      * @param running number of turns that this node runs there
      * @param slots number of turns that the runner can run concurrently
-     * @param warmCharacters estimated length of the prompt's cached prefix on the runner, in characters
+     * @param cachedCharacters estimated length of the prompt's cached prefix on the runner, in characters
      */
-    record Candidate(String address, int running, int slots, int warmCharacters) {}
+    record Candidate(String address, int running, int slots, int cachedCharacters) {}
 
     /**
      * Chooses the runner with the lowest weighted sum of load and uncached prompt length.
@@ -31,8 +31,8 @@
      * @param latencyWeight weight of the load
      * @param cacheWeight weight of the uncached prompt
      */
-    record WarmthAndLoad(double latencyWeight, double cacheWeight) implements PlacementPolicy {
-        private static final double CHARACTERS_PER_SLOT_WAIT = 4000;
+    record CacheAndLoad(double latencyWeight, double cacheWeight) implements PlacementPolicy {
+        private static final double UNCACHED_CHARACTERS_PER_LOAD_UNIT = 4000;
 
         @Override
         public Optional<Candidate> choose(int promptCharacters, List<Candidate> candidates) {
@@ -48,8 +48,8 @@
          */
         public double cost(int promptCharacters, Candidate candidate) {
             double load = (double) candidate.running() / candidate.slots();
-            double uncached = Math.max(0, promptCharacters - candidate.warmCharacters());
-            return latencyWeight * load + cacheWeight * uncached / CHARACTERS_PER_SLOT_WAIT;
+            double uncached = Math.max(0, promptCharacters - candidate.cachedCharacters());
+            return latencyWeight * load + cacheWeight * uncached / UNCACHED_CHARACTERS_PER_LOAD_UNIT;
         }
     }
 
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/Runner.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/Runner.java
@@ -6,12 +6,12 @@
 
 /** This node's view of one runner: its load, availability and cached prompts. Confined to the node's event loop. */
 final class Runner {
-    private static final int WARM_ENTRIES = 4096;
+    private static final int MAX_CACHE_ENTRIES = 4096;
 
-    private final Map<String, Integer> warm = new LinkedHashMap<>(64, 0.75f, true) {
+    private final Map<String, Integer> cachedCharacters = new LinkedHashMap<>(64, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Integer> eldest) {
-            return size() > WARM_ENTRIES;
+            return size() > MAX_CACHE_ENTRIES;
         }
     };
     private RunnerSpec spec;
@@ -27,7 +27,7 @@
         return spec;
     }
 
-    void spec(RunnerSpec changed) {
+    void setSpec(RunnerSpec changed) {
         spec = changed;
     }
 
@@ -39,44 +39,44 @@
         return running;
     }
 
-    void began() {
+    void incrementRunning() {
         running++;
     }
 
-    void ended() {
+    void decrementRunning() {
         running--;
     }
 
-    boolean leaving() {
+    boolean isLeaving() {
         return leaving;
     }
 
-    void leaving(boolean now) {
-        leaving = now;
-        if (now) {
-            warm.clear();
+    void setLeaving(boolean isLeaving) {
+        leaving = isLeaving;
+        if (isLeaving) {
+            cachedCharacters.clear();
         }
     }
 
     /** Excludes the runner from placement until the given time and drops its cache estimates. */
     void avoidUntil(long nanos) {
         avoidUntilNanos = nanos;
-        warm.clear();
+        cachedCharacters.clear();
     }
 
-    boolean usable(long nowNanos) {
+    boolean isUsable(long nowNanos) {
         return !leaving && nowNanos >= avoidUntilNanos;
     }
 
-    int warmCharacters(String key) {
-        return warm.getOrDefault(key, 0);
+    int cachedCharacters(String key) {
+        return cachedCharacters.getOrDefault(key, 0);
     }
 
-    void warmed(String key, int characters) {
-        warm.put(key, characters);
+    void recordCachedPrompt(String key, int characters) {
+        cachedCharacters.put(key, characters);
     }
 
-    void cooled(String program) {
-        warm.keySet().removeIf(key -> key.startsWith(program + "/"));
+    void forgetProgram(String program) {
+        cachedCharacters.keySet().removeIf(key -> key.startsWith(program + "/"));
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/RunnerPool.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/RunnerPool.java
@@ -31,15 +31,15 @@
  */
 public final class RunnerPool {
     private static final Logger LOG = System.getLogger(RunnerPool.class.getName());
-    private static final Duration AVOID_AFTER_FAILURE = Duration.ofSeconds(1);
+    private static final Duration FAILURE_RETRY_DELAY = Duration.ofSeconds(1);
     /** An engine that announced its shutdown may have been restarted by then. */
-    private static final Duration BELIEVE_REFUSAL = Duration.ofSeconds(5);
+    private static final Duration LEAVING_RETRY_DELAY = Duration.ofSeconds(5);
 
     private final NodeEnvironment environment;
     private final Map<String, Runner> runners = new LinkedHashMap<>();
-    private final Map<String, List<String>> models = new HashMap<>();
-    private final List<Waiting> queue = new ArrayList<>();
-    private final Map<String, Set<String>> usedBy = new HashMap<>();
+    private final Map<String, List<String>> runnersByModel = new HashMap<>();
+    private final List<QueuedTurn> queue = new ArrayList<>();
+    private final Map<String, Set<String>> runnersByProgram = new HashMap<>();
     private PlacementPolicy policy = new PlacementPolicy.LeastLoaded();
 
     /**
@@ -57,20 +57,21 @@
      * @param manifest the current manifest
      */
     public void configure(Manifest manifest) {
-        policy = new PlacementPolicy.WarmthAndLoad(
+        policy = new PlacementPolicy.CacheAndLoad(
                 manifest.weights().programLatency(), manifest.weights().wastedCache());
-        models.clear();
+        runnersByModel.clear();
         Set<String> known = new HashSet<>();
         manifest.models().forEach((model, spec) -> {
-            models.put(model, spec.runners().stream().map(RunnerSpec::address).toList());
+            runnersByModel.put(
+                    model, spec.runners().stream().map(RunnerSpec::address).toList());
             spec.runners().forEach(runner -> {
                 known.add(runner.address());
                 runners.computeIfAbsent(runner.address(), any -> new Runner(runner))
-                        .spec(runner);
+                        .setSpec(runner);
             });
         });
         runners.keySet().retainAll(known);
-        place();
+        placeQueuedTurns();
     }
 
     /**
@@ -79,18 +80,18 @@
      * @param address address of the runner
      * @param leaving whether it is leaving
      */
-    public void leaving(String address, boolean leaving) {
+    public void setLeaving(String address, boolean leaving) {
         Runner runner = runners.get(address);
-        if (runner == null || runner.leaving() == leaving) {
+        if (runner == null || runner.isLeaving() == leaving) {
             return;
         }
-        runner.leaving(leaving);
+        runner.setLeaving(leaving);
         LOG.log(
                 Logger.Level.INFO,
                 LogLine.of(leaving ? "runner_leaving" : "runner_returned")
                         .with("runner", address)
                         .toString());
-        place();
+        placeQueuedTurns();
     }
 
     /**
@@ -109,10 +110,10 @@
      * @return cancels the turn, whether queued or running
      */
     public LoopTimer submit(TurnTask task) {
-        Waiting waiting = new Waiting(task);
-        queue.add(waiting);
-        place();
-        return () -> cancel(waiting);
+        QueuedTurn queued = new QueuedTurn(task);
+        queue.add(queued);
+        placeQueuedTurns();
+        return () -> cancel(queued);
     }
 
     /**
@@ -121,12 +122,12 @@
      * @param program id of the program
      */
     public void release(String program) {
-        Set<String> addresses = usedBy.remove(program);
+        Set<String> addresses = runnersByProgram.remove(program);
         if (addresses == null) {
             return;
         }
         addresses.forEach(address -> {
-            Optional.ofNullable(runners.get(address)).ifPresent(runner -> runner.cooled(program));
+            Optional.ofNullable(runners.get(address)).ifPresent(runner -> runner.forgetProgram(program));
             environment.engines().release(address, program);
         });
     }
@@ -137,7 +138,7 @@
      * @param address address of the runner
      * @return the allocations with their owners, on the event loop; fails if the runner does not answer
      */
-    public CompletableFuture<List<EngineMemory>> memory(String address) {
+    public CompletableFuture<List<EngineMemory>> engineMemory(String address) {
         return environment.engines().memory(address);
     }
 
@@ -147,42 +148,42 @@
      * @param address address of the runner
      * @param owner the owner tag of the memory
      */
-    public void releaseAt(String address, String owner) {
+    public void releaseOn(String address, String owner) {
         environment.engines().release(address, owner);
     }
 
-    private void cancel(Waiting waiting) {
-        queue.remove(waiting);
-        waiting.cancelled = true;
-        if (waiting.stream != null) {
-            waiting.stream.cancel();
+    private void cancel(QueuedTurn queued) {
+        queue.remove(queued);
+        queued.cancelled = true;
+        if (queued.stream != null) {
+            queued.stream.cancel();
         }
     }
 
-    private void place() {
-        queue.sort(Comparator.comparingLong(waiting -> waiting.task.startedMillis()));
-        for (Iterator<Waiting> each = queue.iterator(); each.hasNext(); ) {
-            Waiting waiting = each.next();
-            Optional<Runner> choice = choose(waiting.task);
+    private void placeQueuedTurns() {
+        queue.sort(Comparator.comparingLong(queued -> queued.task.startedMillis()));
+        for (Iterator<QueuedTurn> each = queue.iterator(); each.hasNext(); ) {
+            QueuedTurn queued = each.next();
+            Optional<Runner> choice = choose(queued.task);
             if (choice.isPresent()) {
                 each.remove();
                 // Deferred, since a turn that fails synchronously would modify the queue during the iteration.
-                choice.get().began();
-                environment.loop().execute(() -> begin(waiting, choice.get()));
+                choice.get().incrementRunning();
+                environment.loop().execute(() -> begin(queued, choice.get()));
             }
         }
     }
 
     private Optional<Runner> choose(TurnTask task) {
         long now = environment.loop().clock().nanos();
-        List<PlacementPolicy.Candidate> candidates = models.getOrDefault(task.model(), List.of()).stream()
+        List<PlacementPolicy.Candidate> candidates = runnersByModel.getOrDefault(task.model(), List.of()).stream()
                 .map(runners::get)
-                .filter(runner -> runner != null && runner.usable(now))
+                .filter(runner -> runner != null && runner.isUsable(now))
                 .map(runner -> new PlacementPolicy.Candidate(
                         runner.address(),
                         runner.running(),
                         runner.spec().slots(),
-                        runner.warmCharacters(task.warmKey())))
+                        runner.cachedCharacters(task.cacheKey())))
                 .toList();
         int length = task.promptCharacters();
         Optional<PlacementPolicy.Candidate> choice = policy.choose(length, candidates);
@@ -198,51 +199,51 @@
                         .with("runner", choice.get().address())
                         .with("running", choice.get().running())
                         .with("prompt", length)
-                        .with("warm", choice.get().warmCharacters())
+                        .with("warm", choice.get().cachedCharacters())
                         .with("candidates", candidates.size())
                         .with("queued", queue.size())
                         .toString());
         return Optional.of(runners.get(choice.get().address()));
     }
 
-    private void begin(Waiting waiting, Runner runner) {
-        TurnTask task = waiting.task;
-        if (waiting.cancelled) {
-            runner.ended();
-            place();
+    private void begin(QueuedTurn queued, Runner runner) {
+        TurnTask task = queued.task;
+        if (queued.cancelled) {
+            runner.decrementRunning();
+            placeQueuedTurns();
             return;
         }
-        usedBy.computeIfAbsent(task.program(), any -> new HashSet<>()).add(runner.address());
+        runnersByProgram.computeIfAbsent(task.program(), any -> new HashSet<>()).add(runner.address());
         CompletableFuture<TurnResult> answer = new CompletableFuture<>();
         TurnRequest request =
                 new TurnRequest(task.streamId(), task.program(), task.model(), task.prompt(), task.maxTokens());
-        waiting.stream = environment
+        queued.stream = environment
                 .engines()
                 .turn(
                         runner.address(),
                         request,
                         text -> environment.loop().execute(() -> {
-                            if (!waiting.cancelled) {
+                            if (!queued.cancelled) {
                                 task.tokens().accept(text);
                             }
                         }),
                         answer);
-        answer.whenCompleteAsync((result, failure) -> finish(waiting, runner, result, failure), environment.loop());
+        answer.whenCompleteAsync((result, failure) -> finish(queued, runner, result, failure), environment.loop());
     }
 
-    private void finish(Waiting waiting, Runner runner, TurnResult result, Throwable failure) {
-        TurnTask task = waiting.task;
-        runner.ended();
+    private void finish(QueuedTurn queued, Runner runner, TurnResult result, Throwable failure) {
+        TurnTask task = queued.task;
+        runner.decrementRunning();
         if (failure == null) {
-            runner.warmed(
-                    task.warmKey(), task.promptCharacters() + result.text().length());
+            runner.recordCachedPrompt(
+                    task.cacheKey(), task.promptCharacters() + result.text().length());
             environment.meters().counter("parsleydrift.prompt.tokens").increment(result.promptTokens());
             environment.meters().counter("parsleydrift.prompt.cached").increment(result.cachedTokens());
-        } else if (!waiting.cancelled) {
-            noteFailure(runner, failure);
+        } else if (!queued.cancelled) {
+            handleFailure(runner, failure);
         }
-        place();
-        if (waiting.cancelled) {
+        placeQueuedTurns();
+        if (queued.cancelled) {
             return;
         }
         if (failure == null) {
@@ -252,7 +253,7 @@
         }
     }
 
-    private void noteFailure(Runner runner, Throwable failure) {
+    private void handleFailure(Runner runner, Throwable failure) {
         LOG.log(
                 Logger.Level.WARNING,
                 LogLine.of("turn_failed")
@@ -260,15 +261,15 @@
                         .failure(failure)
                         .toString());
         if (StepException.unwrap(failure) instanceof CallException known && known.leaving()) {
-            avoid(runner, BELIEVE_REFUSAL);
+            avoid(runner, LEAVING_RETRY_DELAY);
         } else {
-            avoid(runner, AVOID_AFTER_FAILURE);
+            avoid(runner, FAILURE_RETRY_DELAY);
         }
     }
 
     private void avoid(Runner runner, Duration time) {
         runner.avoidUntil(environment.loop().clock().nanos() + time.toNanos());
-        environment.loop().schedule(time.plusMillis(1), this::place);
+        environment.loop().schedule(time.plusMillis(1), this::placeQueuedTurns);
     }
 
     /**
@@ -282,12 +283,12 @@
     }
 
     /** A turn that is queued or running. */
-    private static final class Waiting {
+    private static final class QueuedTurn {
         private final TurnTask task;
         private LoopTimer stream;
         private boolean cancelled;
 
-        private Waiting(TurnTask task) {
+        private QueuedTurn(TurnTask task) {
             this.task = task;
         }
     }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/TurnTask.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/TurnTask.java
@@ -30,7 +30,7 @@
         long startedMillis,
         Consumer<String> tokens,
         CompletableFuture<TurnResult> done) {
-    String warmKey() {
+    String cacheKey() {
         return program + "/" + path;
     }
 
