--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/EngineMemorySweeper.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/EngineMemorySweeper.java
@@ -29,7 +29,7 @@
         this.node = node;
         this.runners = runners;
         this.gateway = gateway;
-        environment.loop().every(PERIOD, this::sweepAll);
+        environment.loop().scheduleWithFixedDelay(PERIOD, this::sweepAll);
     }
 
     private void sweepAll() {
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/call/CallExecutor.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/call/CallExecutor.java
@@ -146,7 +146,7 @@
                         .with("kind", kind)
                         .failure(failure)
                         .toString());
-        if (StepException.unwrap(failure) instanceof CallException known && known.leaving()) {
+        if (StepException.unwrap(failure) instanceof CallException known && known.isLeaving()) {
             leavingUntilNanos.put(known.peer(), loop.clock().nanos() + LEAVING_RETRY_DELAY.toNanos());
         }
         boolean retry = kind == CallFailure.NOT_RUN || (kind == CallFailure.UNKNOWN && spec.repeatable());
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdmissionController.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdmissionController.java
@@ -35,7 +35,7 @@
 
     /** Returns the refusal of a start request, or empty if it is admitted. */
     Optional<CallerReply.Refused> refusal(ProgramId id, boolean firstAttempt) {
-        long ageMinutes = loop.clock().instant().getEpochSecond() / SECONDS_PER_MINUTE - id.issued();
+        long ageMinutes = loop.clock().instant().getEpochSecond() / SECONDS_PER_MINUTE - id.issuedMinutes();
         if (ageMinutes > timings.ticketLifetime().toMinutes()) {
             return Optional.of(new CallerReply.Refused(
                     RefusalKind.EXPIRED,
@@ -45,10 +45,10 @@
                             + timings.ticketLifetime().toMinutes() + " min; request a new ticket",
                     0));
         }
-        if (journal.stalledFor().compareTo(timings.outageThreshold()) > 0) {
+        if (journal.inFlightWriteAge().compareTo(timings.outageThreshold()) > 0) {
             return Optional.of(unavailable(
                     "the platform has not answered a journal write for "
-                            + journal.stalledFor().toMillis() + " ms, limit is "
+                            + journal.inFlightWriteAge().toMillis() + " ms, limit is "
                             + timings.outageThreshold().toMillis() + " ms",
                     firstAttempt));
         }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdoptionMarkers.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdoptionMarkers.java
@@ -21,11 +21,11 @@
 
     /** Retains the journal from the next segment on for a marker that is about to be written. */
     void retainJournal(String share) {
-        firstSegments.put(share, journal.sequence() + 1);
+        firstSegments.put(share, journal.durableSequence() + 1);
     }
 
     CompletableFuture<Void> write(String share) {
-        long from = journal.sequence() + 1;
+        long from = journal.durableSequence() + 1;
         return journal.append(MessagePackCodec.encode(new JournalRecord.Adopted(share)))
                 .durable()
                 .thenRun(() -> firstSegments.computeIfPresent(share, (any, before) -> from));
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/OwnershipLeaseGate.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/OwnershipLeaseGate.java
@@ -34,7 +34,7 @@
     }
 
     private void passWithLease(Runnable attempt, Runnable onDenied) {
-        if (journal.sinceDurable().compareTo(leaseDuration) < 0) {
+        if (journal.timeSinceDurableWrite().compareTo(leaseDuration) < 0) {
             attempt.run();
             return;
         }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramHost.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramHost.java
@@ -12,9 +12,9 @@
 import java.util.function.Function;
 import org.parsleydrift.journal.JournalEntry;
 import org.parsleydrift.journal.JournalWriter;
+import org.parsleydrift.kernel.Cancellable;
 import org.parsleydrift.kernel.EventLoop;
 import org.parsleydrift.kernel.LogLine;
-import org.parsleydrift.kernel.LoopTimer;
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.codec.MessagePackCodec;
 import org.parsleydrift.manifest.AgentSpec;
@@ -30,8 +30,8 @@
 import org.parsleydrift.program.ProgramEnd;
 import org.parsleydrift.program.ProgramEvent;
 import org.parsleydrift.program.ProgramId;
-import org.parsleydrift.program.ProgramMachine;
 import org.parsleydrift.program.ProgramState;
+import org.parsleydrift.program.ProgramStateMachine;
 
 /** Runs the programs that this incarnation owns and records them in its journal. Confined to the node's event loop. */
 public final class ProgramHost {
@@ -126,7 +126,7 @@
             programs.put(state.id(), live);
             live.setOldestReferencedSegment(1);
             rewrite(live);
-            if (state.over()) {
+            if (state.hasEnded()) {
                 scheduleRemoval(live);
             } else {
                 stepExecutor.settleInterruptedSteps(live);
@@ -162,7 +162,7 @@
      * @return true if the journal can be sealed without interrupting a step
      */
     public boolean isIdle() {
-        return journal.idle()
+        return journal.isIdle()
                 && programs.values().stream()
                         .allMatch(live -> live.runningSteps().isEmpty());
     }
@@ -172,7 +172,7 @@
         stopped = true;
         guard.stop();
         programs.values().forEach(live -> {
-            live.runningSteps().values().forEach(LoopTimer::cancel);
+            live.runningSteps().values().forEach(Cancellable::cancel);
             live.runningSteps().clear();
             List.copyOf(live.attachments()).forEach(each -> each.end(new CallerReply.Moved()));
         });
@@ -198,7 +198,7 @@
      */
     public boolean isRunning(ProgramId id) {
         LiveProgram live = programs.get(id);
-        return live != null && !live.state().over();
+        return live != null && !live.state().hasEnded();
     }
 
     /** Rewrites the programs and markers that need segments below the given sequence number. */
@@ -217,11 +217,11 @@
                 .mapToLong(LiveProgram::oldestReferencedSegment)
                 .min()
                 .orElse(Long.MAX_VALUE);
-        return Math.min(journal.sequence() + 1, Math.min(programsFrom, markers.oldestReferencedSegment()));
+        return Math.min(journal.durableSequence() + 1, Math.min(programsFrom, markers.oldestReferencedSegment()));
     }
 
     private void rewrite(LiveProgram live) {
-        long from = journal.sequence() + 1;
+        long from = journal.durableSequence() + 1;
         live.setRewriting(true);
         Snapshots.append(journal, live);
         live.durable().thenRun(() -> {
@@ -243,10 +243,10 @@
     /** Appends an event to the journal and applies it. */
     JournalEntry record(LiveProgram live, ProgramEvent event) {
         ProgramId id = live.state().id();
-        boolean wasOver = live.state().over();
+        boolean wasOver = live.state().hasEnded();
         JournalEntry entry = journal.append(MessagePackCodec.encode(new JournalRecord.OfProgram(id, event)));
         live.apply(event, entry);
-        if (!wasOver && live.state().over()) {
+        if (!wasOver && live.state().hasEnded()) {
             handleEnd(live);
         }
         entry.durable().thenRun(() -> advance(live));
@@ -278,7 +278,7 @@
         Runnable begin = () -> {
             if (isActive(live) && !draining && loop.clock().nanos() >= live.notBeforeNanos()) {
                 long now = loop.clock().instant().toEpochMilli();
-                ProgramMachine.next(live.state(), now).stream()
+                ProgramStateMachine.nextSteps(live.state(), now).stream()
                         .filter(step -> !live.runningSteps().containsKey(step.key()))
                         .toList()
                         .forEach(step -> stepExecutor.start(live, step));
@@ -311,7 +311,7 @@
                 spec.budget(),
                 version.generation(),
                 loop.clock().instant().toEpochMilli());
-        LiveProgram live = add(ProgramMachine.start(started), started);
+        LiveProgram live = add(ProgramStateMachine.start(started), started);
         scheduleTimeLimit(live);
         return replyWhenDurable(live, sink, () -> sink.reply(accepted(live)));
     }
@@ -337,7 +337,7 @@
                 call.body(),
                 manifest.version().generation(),
                 loop.clock().instant().toEpochMilli());
-        LiveProgram live = add(ProgramMachine.start(started), started);
+        LiveProgram live = add(ProgramStateMachine.start(started), started);
         advance(live);
         return attach(live, 0, sink);
     }
@@ -345,7 +345,7 @@
     private LiveProgram add(ProgramState state, ProgramEvent first) {
         LiveProgram live = new LiveProgram(state);
         programs.put(state.id(), live);
-        live.setOldestReferencedSegment(journal.sequence() + 1);
+        live.setOldestReferencedSegment(journal.durableSequence() + 1);
         LOG.log(
                 Logger.Level.INFO,
                 LogLine.of("program_accepted")
@@ -401,7 +401,7 @@
     }
 
     private Runnable send(LiveProgram live, CallerRequest.Send send, ReplySink sink) {
-        if (live.state().over() && !live.state().messages().containsKey(send.key())) {
+        if (live.state().hasEnded() && !live.state().messages().containsKey(send.key())) {
             return Refusals.refuse(
                     sink, Refusals.notRun("program has ended: " + live.state().end(), 0));
         }
@@ -413,7 +413,7 @@
     }
 
     private Runnable cancel(LiveProgram live, ReplySink sink) {
-        if (!live.state().over()) {
+        if (!live.state().hasEnded()) {
             record(live, new ProgramEvent.Stopped(ProgramEnd.CANCELLED, "by the caller"));
         }
         return replyWhenDurable(live, sink, () -> sink.reply(accepted(live)));
@@ -449,7 +449,7 @@
     }
 
     private void handleEnd(LiveProgram live) {
-        live.runningSteps().values().forEach(LoopTimer::cancel);
+        live.runningSteps().values().forEach(Cancellable::cancel);
         live.runningSteps().clear();
         ProgramState state = live.state();
         LOG.log(
@@ -472,7 +472,7 @@
 
     /** Notifies callers of the end once it is durable; before that, a successor could reach a different end. */
     private void notifyEnd(LiveProgram live) {
-        if (!live.state().over() || !live.isDurable() || live.durable().isCompletedExceptionally()) {
+        if (!live.state().hasEnded() || !live.isDurable() || live.durable().isCompletedExceptionally()) {
             return;
         }
         ProgramState state = live.state();
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Snapshots.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Snapshots.java
@@ -29,7 +29,7 @@
     }
 
     private static ProgramState appendHistories(JournalWriter journal, ProgramState complete) {
-        ProgramState state = complete.over() ? complete.condensed() : complete;
+        ProgramState state = complete.hasEnded() ? complete.compacted() : complete;
         state.agents().values().stream()
                 .flatMap(agent -> chunks(state, agent).stream())
                 .forEach(piece -> journal.append(MessagePackCodec.encode(piece)));
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/StepExecutor.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/StepExecutor.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Stream;
+import org.parsleydrift.kernel.Cancellable;
 import org.parsleydrift.kernel.EventLoop;
 import org.parsleydrift.kernel.LogLine;
-import org.parsleydrift.kernel.LoopTimer;
 import org.parsleydrift.kernel.upstream.CallRequest;
 import org.parsleydrift.kernel.upstream.TurnResult;
 import org.parsleydrift.manifest.AgentSpec;
@@ -32,7 +32,7 @@
 /** Executes the steps of programs. Confined to the node's event loop. */
 final class StepExecutor {
     private static final Logger LOG = System.getLogger(StepExecutor.class.getName());
-    private static final LoopTimer NO_TIMER = () -> {};
+    private static final Cancellable NO_TIMER = () -> {};
     private static final Duration INITIAL_BACKOFF = Duration.ofMillis(100);
     private static final int MAX_BACKOFF_SHIFT = 5;
     /**
@@ -89,7 +89,7 @@
         AgentSpec spec = manifest.manifest().agents().get(agent.agent());
         int maxTokens = spec == null ? 0 : spec.turnTokens() * (1 + MAX_NON_DURABLE_TURNS);
         int charge = live.ledger().grant(maxTokens);
-        if (charge > 0 && !live.state().over()) {
+        if (charge > 0 && !live.state().hasEnded()) {
             live.setLedger(live.ledger().settle(0, charge));
             host.record(live, new ProgramEvent.TurnLost(agent.path(), agent.turns(), charge));
         }
@@ -220,7 +220,7 @@
     }
 
     private void send(LiveProgram live, ProgramStep.MakeCall step, OperationSpec spec) {
-        if (!host.isActive(live) || live.state().over()) {
+        if (!host.isActive(live) || live.state().hasEnded()) {
             return;
         }
         CallRequest request = new CallRequest(step.callId(), step.tool(), step.arguments());
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/manifest/ManifestManager.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/manifest/ManifestManager.java
@@ -229,6 +229,6 @@
     }
 
     private <T> CompletableFuture<T> withTimeout(CompletableFuture<T> answer) {
-        return Deadline.bound(loop, answer, timeout, KEY);
+        return Deadline.withTimeout(loop, answer, timeout, KEY);
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/NodeRegistry.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/NodeRegistry.java
@@ -187,6 +187,6 @@
     }
 
     private <T> CompletableFuture<T> withTimeout(CompletableFuture<T> answer) {
-        return Deadline.bound(environment.loop(), answer, timings.platformTimeout(), NodeRecord.prefix());
+        return Deadline.withTimeout(environment.loop(), answer, timings.platformTimeout(), NodeRecord.prefix());
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/RunnerPool.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/RunnerPool.java
@@ -13,8 +13,8 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
+import org.parsleydrift.kernel.Cancellable;
 import org.parsleydrift.kernel.LogLine;
-import org.parsleydrift.kernel.LoopTimer;
 import org.parsleydrift.kernel.StepException;
 import org.parsleydrift.kernel.upstream.CallException;
 import org.parsleydrift.kernel.upstream.CallFailure;
@@ -109,7 +109,7 @@
      * @param task the turn
      * @return cancels the turn, whether queued or running
      */
-    public LoopTimer submit(TurnTask task) {
+    public Cancellable submit(TurnTask task) {
         QueuedTurn queued = new QueuedTurn(task);
         queue.add(queued);
         placeQueuedTurns();
@@ -139,7 +139,7 @@
      * @return the allocations with their owners, on the event loop; fails if the runner does not answer
      */
     public CompletableFuture<List<EngineMemory>> engineMemory(String address) {
-        return environment.engines().memory(address);
+        return environment.engines().listMemory(address);
     }
 
     /**
@@ -219,7 +219,7 @@
                 new TurnRequest(task.streamId(), task.program(), task.model(), task.prompt(), task.maxTokens());
         queued.stream = environment
                 .engines()
-                .turn(
+                .runTurn(
                         runner.address(),
                         request,
                         text -> environment.loop().execute(() -> {
@@ -260,7 +260,7 @@
                         .with("runner", runner.address())
                         .failure(failure)
                         .toString());
-        if (StepException.unwrap(failure) instanceof CallException known && known.leaving()) {
+        if (StepException.unwrap(failure) instanceof CallException known && known.isLeaving()) {
             avoid(runner, LEAVING_RETRY_DELAY);
         } else {
             avoid(runner, FAILURE_RETRY_DELAY);
@@ -285,7 +285,7 @@
     /** A turn that is queued or running. */
     private static final class QueuedTurn {
         private final TurnTask task;
-        private LoopTimer stream;
+        private Cancellable stream;
         private boolean cancelled;
 
         private QueuedTurn(TurnTask task) {
