--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
@@ -233,7 +233,7 @@
      * @param id the program
      * @return false if the program has ended, is unknown, or belongs to another node
      */
-    public boolean running(ProgramId id) {
+    public boolean isRunning(ProgramId id) {
         return incarnation.host().isRunning(id);
     }
 
