--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/OwnershipLeaseGate.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/OwnershipLeaseGate.java
@@ -8,8 +8,8 @@
 
 /**
  * Permits effects only under a lease: for a limited time after the start of the last durable journal write. A successor
- * waits until the lease has expired ({@link ProgramHost#delayUntilLeaseExpiry}), so a late call of the former owner cannot run after
- * the calls of its successor. Confined to the node's event loop.
+ * waits until the lease has expired ({@link ProgramHost#delayUntilLeaseExpiry}), so a late call of the former owner
+ * cannot run after the calls of its successor. Confined to the node's event loop.
  */
 final class OwnershipLeaseGate implements EffectGate {
     private final EffectGate delegate;
