--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/Incarnation.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/Incarnation.java
@@ -318,13 +318,13 @@
                 Duration.ofNanos(Math.max(timings.commitInterval().toNanos(), perWriter)));
     }
 
-    private void sealJournalOf(NodeRecord dead) {
+    private void sealJournalOf(NodeRecord failedNode) {
         List<String> successors = acceptingNodes().stream()
                 .map(NodeRecord::incarnation)
-                .filter(incarnation -> !incarnation.equals(dead.incarnation()))
+                .filter(incarnation -> !incarnation.equals(failedNode.incarnation()))
                 .toList();
         if (!successors.isEmpty()) {
-            takeover.seal(dead.incarnation(), successors).exceptionally(failure -> null);
+            takeover.seal(failedNode.incarnation(), successors).exceptionally(failure -> null);
         }
     }
 
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
@@ -123,7 +123,7 @@
                     "no repeatable service " + service + " in manifest generation " + manifest.generation()));
         }
         String callId = "plain/" + Long.toHexString(environment.random().nextLong());
-        return calls.execute(spec, new CallRequest(callId, service, body), EffectGate.OPEN);
+        return calls.execute(spec, new CallRequest(callId, service, body), EffectGate.ALWAYS_PERMITTED);
     }
 
     /**
@@ -268,7 +268,7 @@
 
     private void dispatch(NodeRecord from, PeerMessage message) {
         switch (message) {
-            case PeerMessage.Heartbeat beat -> compareGenerations(from, beat.generation());
+            case PeerMessage.Heartbeat beat -> requestManifestIfNewer(from, beat.generation());
             case PeerMessage.Probe probe -> {
                 if (incarnation.isWatchedAndAlive(probe.suspect())) {
                     incarnation.send(from, new PeerMessage.ProbeAnswer(probe.suspect()));
@@ -352,7 +352,7 @@
         }
     }
 
-    private void compareGenerations(NodeRecord peer, long generation) {
+    private void requestManifestIfNewer(NodeRecord peer, long generation) {
         if (generation > manifest.generation()) {
             incarnation.send(peer, new PeerMessage.ManifestAsk());
         }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/call/CallExecutor.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/call/CallExecutor.java
@@ -146,8 +146,8 @@
                         .with("kind", kind)
                         .failure(failure)
                         .toString());
-        if (StepException.unwrap(failure) instanceof CallException known && known.isLeaving()) {
-            leavingUntilNanos.put(known.peer(), loop.clock().nanos() + LEAVING_RETRY_DELAY.toNanos());
+        if (StepException.unwrap(failure) instanceof CallException exception && exception.isLeaving()) {
+            leavingUntilNanos.put(exception.peer(), loop.clock().nanos() + LEAVING_RETRY_DELAY.toNanos());
         }
         boolean retry = kind == CallFailure.NOT_RUN || (kind == CallFailure.UNKNOWN && spec.repeatable());
         if (retry && number < spec.attempts()) {
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/call/EffectGate.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/call/EffectGate.java
@@ -4,7 +4,7 @@
 @FunctionalInterface
 public interface EffectGate {
     /** Permits every attempt; for calls that belong to no program. */
-    EffectGate OPEN = (attempt, dropped) -> attempt.run();
+    EffectGate ALWAYS_PERMITTED = (attempt, dropped) -> attempt.run();
 
     /**
      * Runs one of two tasks, immediately or after a check of the ownership.
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/CallerGateway.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/CallerGateway.java
@@ -169,10 +169,10 @@
             if (reply.last()) {
                 inboundForwards.remove(key());
             }
-            long sent = nextOrder++;
+            long order = nextOrder++;
             routes.get()
                     .ifPresent(ownerRoutes ->
-                            ownerRoutes.send().accept(from, new PeerMessage.ForwardReply(number, sent, reply)));
+                            ownerRoutes.send().accept(from, new PeerMessage.ForwardReply(number, order, reply)));
         }
     }
 
@@ -224,14 +224,14 @@
             }
             target = ownerRoutes.self();
             forwardNumber = -1;
-            boolean[] current = {true};
+            boolean[] active = {true};
             Runnable cancel = handleLocally(ownerRoutes, nextRequest(), reply -> {
-                if (current[0]) {
+                if (active[0]) {
                     deliver(reply);
                 }
             });
             cancelLocal = () -> {
-                current[0] = false;
+                active[0] = false;
                 cancel.run();
             };
         }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramHost.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramHost.java
@@ -288,9 +288,9 @@
     }
 
     private Runnable start(CallerRequest.Start start, ReplySink sink) {
-        LiveProgram known = programs.get(start.id());
-        if (known != null) {
-            return acceptRepeat(known, known.state().agent().equals(start.agent()), sink);
+        LiveProgram existing = programs.get(start.id());
+        if (existing != null) {
+            return acceptRepeat(existing, existing.state().agent().equals(start.agent()), sink);
         }
         Optional<CallerReply.Refused> refusal = admission.refusal(start.id(), start.first());
         if (refusal.isPresent()) {
@@ -317,11 +317,11 @@
     }
 
     private Runnable start(CallerRequest.CallService call, ReplySink sink) {
-        LiveProgram known = programs.get(call.id());
-        if (known != null) {
-            boolean sameRequest = known.state().agent().equals(call.service());
+        LiveProgram existing = programs.get(call.id());
+        if (existing != null) {
+            boolean sameRequest = existing.state().agent().equals(call.service());
             return sameRequest
-                    ? attach(known, 0, sink)
+                    ? attach(existing, 0, sink)
                     : Refusals.refuse(sink, Refusals.badRequest("id " + call.id() + " is used by another request"));
         }
         Optional<CallerReply.Refused> refusal = admission.refusal(call.id(), call.first());
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/FailureDetector.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/FailureDetector.java
@@ -35,7 +35,7 @@
     private final Supplier<List<NodeRecord>> unsealedPeers;
     private final BiConsumer<NodeRecord, PeerMessage> send;
     private final LongSupplier generation;
-    private final Consumer<NodeRecord> onDead;
+    private final Consumer<NodeRecord> onFailed;
     private final Consumer<NodeRecord> onSuspect;
     private final Map<String, Long> lastHeartbeatNanos = new HashMap<>();
     private final Map<String, Long> lastProbeAnswerNanos = new HashMap<>();
@@ -54,7 +54,7 @@
      * @param unsealedPeers supplies the other nodes whose journals are not sealed
      * @param send sends a message to a node
      * @param generation supplies the manifest generation announced in heartbeats
-     * @param onDead called with a failed node whose journal this node should seal; repeated until it is sealed
+     * @param onFailed called with a failed node whose journal this node should seal; repeated until it is sealed
      * @param onSuspect called with a newly suspected node, so that a new connection to it is tried
      */
     public FailureDetector(
@@ -64,7 +64,7 @@
             Supplier<List<NodeRecord>> unsealedPeers,
             BiConsumer<NodeRecord, PeerMessage> send,
             LongSupplier generation,
-            Consumer<NodeRecord> onDead,
+            Consumer<NodeRecord> onFailed,
             Consumer<NodeRecord> onSuspect) {
         this.loop = loop;
         this.selfRecord = selfRecord;
@@ -73,7 +73,7 @@
         this.unsealedPeers = unsealedPeers;
         this.send = send;
         this.generation = generation;
-        this.onDead = onDead;
+        this.onFailed = onFailed;
         this.onSuspect = onSuspect;
         this.lastCheckNanos = loop.clock().nanos();
         sendHeartbeats();
@@ -185,7 +185,7 @@
         long suspectedForNanos = now - suspectedNanos.get(peer.incarnation());
         if (suspectedForNanos >= timings.probeTimeout().toNanos() * (1 + rank(peer.incarnation()))) {
             suspectedNanos.put(peer.incarnation(), now);
-            onDead.accept(peer);
+            onFailed.accept(peer);
         }
     }
 
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/ownership/OwnerDirectory.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/ownership/OwnerDirectory.java
@@ -70,7 +70,8 @@
      */
     public boolean canServe(ProgramId id) {
         OwnerChain walk = follow(id);
-        return walk.chain.getLast().equals(self) && (walk.pending.isEmpty() || adopted.contains(walk.pending.get()));
+        return walk.journals.getLast().equals(self)
+                && (walk.pendingShare.isEmpty() || adopted.contains(walk.pendingShare.get()));
     }
 
     /**
@@ -80,7 +81,7 @@
      * @return incarnations in order, from the one named in the program's id to the owner
      */
     public List<String> chain(ProgramId id) {
-        return follow(id).chain;
+        return follow(id).journals;
     }
 
     private OwnerChain follow(ProgramId id) {
@@ -103,5 +104,5 @@
         return new OwnerChain(chain, Optional.empty());
     }
 
-    private record OwnerChain(List<String> chain, Optional<ShareId> pending) {}
+    private record OwnerChain(List<String> journals, Optional<ShareId> pendingShare) {}
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/RunnerPool.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/RunnerPool.java
@@ -260,7 +260,7 @@
                         .with("runner", runner.address())
                         .failure(failure)
                         .toString());
-        if (StepException.unwrap(failure) instanceof CallException known && known.isLeaving()) {
+        if (StepException.unwrap(failure) instanceof CallException exception && exception.isLeaving()) {
             avoid(runner, LEAVING_RETRY_DELAY);
         } else {
             avoid(runner, FAILURE_RETRY_DELAY);
