--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
@@ -19,14 +19,14 @@
 import org.parsleydrift.manifest.Manifest;
 import org.parsleydrift.manifest.ManifestVersion;
 import org.parsleydrift.manifest.OperationSpec;
-import org.parsleydrift.node.call.CallEnd;
-import org.parsleydrift.node.call.CallRunner;
+import org.parsleydrift.node.call.CallExecutor;
+import org.parsleydrift.node.call.CallResult;
 import org.parsleydrift.node.call.EffectGate;
 import org.parsleydrift.node.caller.CallerGateway;
 import org.parsleydrift.node.caller.CallerRequest;
 import org.parsleydrift.node.caller.ReplySink;
 import org.parsleydrift.node.host.Upstreams;
-import org.parsleydrift.node.manifest.ManifestKeeper;
+import org.parsleydrift.node.manifest.ManifestManager;
 import org.parsleydrift.node.membership.NodeRecord;
 import org.parsleydrift.node.peer.PeerEnvelope;
 import org.parsleydrift.node.peer.PeerMessage;
@@ -35,141 +35,143 @@
 import org.parsleydrift.program.ProgramState;
 
 /**
- * A node: the facade that the daemon, tests and benches use. All methods are called on the node's loop
- * (docs/ARCHITECTURE.md).
+ * Entry point of the node module: accepts caller requests and peer messages, and restarts the node under a new
+ * incarnation when its journal is sealed. All methods must be called on the node's event loop (docs/ARCHITECTURE.md).
  */
 public final class Node {
     private static final Logger LOG = System.getLogger(Node.class.getName());
-    private static final Duration VM_POLL = Duration.ofMillis(500);
-    private static final Duration MANIFEST_POLL = Duration.ofSeconds(3);
-    private static final Duration WATCH_RETRY = Duration.ofSeconds(1);
-    private static final Duration DRAIN_CHECK = Duration.ofMillis(100);
-    private static final int TTL_SECONDS = 30;
+    private static final Duration VM_POLL_INTERVAL = Duration.ofMillis(500);
+    private static final Duration MANIFEST_POLL_INTERVAL = Duration.ofSeconds(3);
+    private static final Duration WATCH_RETRY_DELAY = Duration.ofSeconds(1);
+    private static final Duration DRAIN_CHECK_INTERVAL = Duration.ofMillis(100);
+    private static final int ENTRY_TTL_SECONDS = 30;
     private static final int MAX_ALTERNATES = 4;
 
     private final NodeEnvironment environment;
     private final EventLoop loop;
     private final NodeSettings settings;
-    private final ManifestKeeper manifest;
+    private final ManifestManager manifest;
     private final RunnerPool runners;
-    private final CallRunner calls;
+    private final CallExecutor calls;
     private final CallerGateway gateway;
-    private final Set<String> listedLeaving = new HashSet<>();
+    private final Set<String> leavingAddresses = new HashSet<>();
     private List<String> seedPeers = List.of();
     private Incarnation incarnation;
     private boolean draining;
     private long watchedVersion;
 
     /**
-     * Makes a node and begins its first life.
+     * Creates a node and starts its first incarnation.
      *
-     * @param environment the outside
-     * @param settings identity and timings
+     * @param environment event loop, clients, random source and metrics
+     * @param settings identity, addresses and timings
      */
     public Node(NodeEnvironment environment, NodeSettings settings) {
         this.environment = environment;
         this.loop = environment.loop();
         this.settings = settings;
         this.runners = new RunnerPool(environment);
-        this.calls = new CallRunner(environment);
-        this.manifest = new ManifestKeeper(
-                loop, environment.store(), settings.timings().platformTimeout(), this::manifestChanged);
+        this.calls = new CallExecutor(environment);
+        this.manifest = new ManifestManager(
+                loop, environment.store(), settings.timings().platformTimeout(), this::applyManifest);
         this.gateway = new CallerGateway(
                 loop,
                 settings.timings(),
-                () -> incarnation != null && incarnation.active()
+                () -> incarnation != null && incarnation.isActive()
                         ? Optional.of(incarnation.routes())
                         : Optional.empty());
-        beginLife();
-        readManifest();
+        startIncarnation();
+        pollManifest();
         watchManifest();
         pollVms();
-        new RunnerSweep(environment, this, runners, gateway);
+        new EngineMemorySweeper(environment, this, runners, gateway);
     }
 
     /**
-     * Names link addresses to ask for the manifest while the platform can't tell who the peers are.
+     * Sets the peers to request the manifest from while the platform is unavailable and no manifest is known.
      *
-     * @param addresses link addresses
+     * @param addresses link addresses, as {@code host:port}
      */
     public void setSeedPeers(List<String> addresses) {
         seedPeers = List.copyOf(addresses);
     }
 
     /**
-     * Serves a caller's request.
+     * Routes a caller's request to the owner of its program.
      *
      * @param request the request
-     * @param sink receives the replies
-     * @return ends the interest in further replies
+     * @param sink receives the replies on the event loop
+     * @return cancels the delivery of further replies
      */
     public Runnable open(CallerRequest request, ReplySink sink) {
         return gateway.open(request, sink);
     }
 
     /**
-     * Calls a plain service whose calls may be repeated; any node can do that, and nothing is kept.
+     * Calls a service whose calls are idempotent. Any node can make such a call; nothing is written to the journal.
      *
-     * @param service the service
-     * @param body what to send
-     * @return how it ended
+     * @param service the service's name in the manifest
+     * @param body the request body
+     * @return the result; fails with a {@link StepException} if the manifest has no repeatable service of that name
      */
-    public CompletableFuture<CallEnd> callRepeatable(String service, String body) {
+    public CompletableFuture<CallResult> callRepeatable(String service, String body) {
         OperationSpec spec = manifest.manifest().services().get(service);
         if (spec == null || !spec.repeatable()) {
-            return CompletableFuture.failedFuture(
-                    new StepException(Step.CALL, "caller", "no repeatable service " + service));
+            return CompletableFuture.failedFuture(new StepException(
+                    Step.CALL,
+                    "caller",
+                    "no repeatable service " + service + " in manifest generation " + manifest.generation()));
         }
         String callId = "plain/" + Long.toHexString(environment.random().nextLong());
-        return calls.run(spec, new CallRequest(callId, service, body), EffectGate.OPEN);
+        return calls.execute(spec, new CallRequest(callId, service, body), EffectGate.ALWAYS_PERMITTED);
     }
 
     /**
-     * The manifest in force and its keeper.
+     * Returns the manifest manager of this node.
      *
-     * @return the keeper
+     * @return the manager, shared by all incarnations of this node
      */
-    public ManifestKeeper manifest() {
+    public ManifestManager manifest() {
         return manifest;
     }
 
     /**
-     * Accepts a manifest and tells it to all nodes.
+     * Submits a manifest. Once the platform has stored it, it is broadcast to all peers.
      *
      * @param text the manifest
-     * @param expected the generation that the operator saw, or -1 for any
-     * @return the version in force then
+     * @param expected the generation that it replaces, or -1 for any
+     * @return the stored version; fails with a {@link StepException} if the generation differs from the expected one
      */
     public CompletableFuture<ManifestVersion> submitManifest(String text, long expected) {
         return manifest.submit(text, expected);
     }
 
     /**
-     * Whether this node serves: it is registered, knows a manifest, and does not drain.
+     * Returns whether this node serves callers.
      *
-     * @return true if it is ready
+     * @return true if it is registered, has a manifest, and is not draining
      */
     public boolean isReady() {
-        return incarnation.active() && manifest.version() != null && !draining;
+        return incarnation.isActive() && manifest.version() != null && !draining;
     }
 
     /**
-     * Tells a caller which address to use.
+     * Assigns an entry node to a caller, chosen at random among the nodes that accept new work.
      *
      * @param team the caller's team
-     * @return the advice, or empty if no node takes new work
+     * @return the assignment, or empty if no node accepts new work or no manifest is known
      */
     public Optional<EntryAssignment> assignEntryNode(String team) {
-        List<NodeRecord> takers = incarnation.active() ? incarnation.takers() : List.of();
-        if (takers.isEmpty() || manifest.version() == null) {
+        List<NodeRecord> candidates = incarnation.isActive() ? incarnation.acceptingNodes() : List.of();
+        if (candidates.isEmpty() || manifest.version() == null) {
             return Optional.empty();
         }
         long salt = environment.random().nextLong();
         LongHashFunction hash = LongHashFunction.xx3(salt);
-        NodeRecord owner = takers.stream()
+        NodeRecord owner = candidates.stream()
                 .min(Comparator.comparingLong(record -> hash.hashChars(team + record.incarnation())))
                 .orElseThrow();
-        List<String> alternates = takers.stream()
+        List<String> alternates = candidates.stream()
                 .filter(record -> !record.equals(owner))
                 .sorted(Comparator.comparing(record -> record.zone().equals(owner.zone())))
                 .limit(MAX_ALTERNATES)
@@ -181,15 +183,16 @@
                 LogLine.of("entry")
                         .with("team", team)
                         .with("node", owner.incarnation())
-                        .with("candidates", takers.size())
+                        .with("candidates", candidates.size())
                         .toString());
-        return Optional.of(new EntryAssignment(owner.http(), alternates, TTL_SECONDS, manifest.generation(), ticket));
+        return Optional.of(
+                new EntryAssignment(owner.http(), alternates, ENTRY_TTL_SECONDS, manifest.generation(), ticket));
     }
 
     /**
-     * What this node says of itself.
+     * Returns a snapshot of this node's state.
      *
-     * @return its status
+     * @return the status, including how this node sees its peers
      */
     public NodeStatus status() {
         Map<ProgramId, ProgramState> states = incarnation.host().states();
@@ -200,7 +203,7 @@
                         peer.incarnation(),
                         peer.http(),
                         peer.zone(),
-                        incarnation.hears(peer.incarnation()),
+                        incarnation.isAlive(peer.incarnation()),
                         peer.draining()))
                 .toList();
         return new NodeStatus(
@@ -216,73 +219,73 @@
     }
 
     /**
-     * The programs that this node owns.
+     * Returns the programs that this node owns.
      *
-     * @return states by id, ended ones among them
+     * @return states by id, including programs that ended within the retention period
      */
     public Map<ProgramId, ProgramState> programs() {
         return incarnation.host().states();
     }
 
     /**
-     * Whether this node owns a program that is under way.
+     * Returns whether this node owns a program that has not ended.
      *
      * @param id the program
-     * @return true if it does
+     * @return false if the program has ended, is unknown, or belongs to another node
      */
     public boolean isRunning(ProgramId id) {
-        return incarnation.host().running(id);
+        return incarnation.host().isRunning(id);
     }
 
     /**
-     * Takes a message of a peer.
+     * Handles a message from a peer. Messages to other incarnations are dropped, except for the exchange of manifests.
      *
-     * @param envelope the message
+     * @param envelope the message with its sender and receiver
      */
     public void receive(PeerEnvelope envelope) {
         PeerMessage message = envelope.message();
         if (message instanceof PeerMessage.ManifestAsk) {
-            offerManifest(envelope.from(), envelope.fromLink());
+            sendManifest(envelope.from(), envelope.fromLink());
             return;
         }
         if (message instanceof PeerMessage.ManifestOffer offer) {
             manifest.offerFromPeer(offer.version(), envelope.from());
             return;
         }
-        if (!incarnation.active() || !incarnation.name().equals(envelope.to())) {
+        if (!incarnation.isActive() || !incarnation.name().equals(envelope.to())) {
             return;
         }
         Optional<NodeRecord> sender = incarnation.registry().find(envelope.from());
         if (sender.isEmpty()) {
-            incarnation.refresh();
+            incarnation.refreshRegistry();
             return;
         }
-        if (!sender.get().over()) {
-            incarnation.heard(envelope.from());
+        if (!sender.get().hasSealedJournal()) {
+            incarnation.recordHeartbeat(envelope.from());
         }
         dispatch(sender.get(), message);
     }
 
     private void dispatch(NodeRecord from, PeerMessage message) {
         switch (message) {
-            case PeerMessage.Heartbeat beat -> compareGenerations(from, beat.generation());
+            case PeerMessage.Heartbeat beat -> requestManifestIfNewer(from, beat.generation());
             case PeerMessage.Probe probe -> {
-                if (incarnation.watchesAndHears(probe.suspect())) {
+                if (incarnation.isWatchedAndAlive(probe.suspect())) {
                     incarnation.send(from, new PeerMessage.ProbeAnswer(probe.suspect()));
                 }
             }
-            case PeerMessage.ProbeAnswer answer -> incarnation.vouched(answer.suspect());
-            case PeerMessage.RegistryChanged ignored -> incarnation.refresh();
-            case PeerMessage.Forward forward -> gateway.forward(from, forward);
-            case PeerMessage.ForwardCancel cancel -> gateway.forwardCancel(from, cancel.number());
-            case PeerMessage.ForwardReply reply -> gateway.forwardReply(reply);
+            case PeerMessage.ProbeAnswer answer -> incarnation.recordProbeAnswer(answer.suspect());
+            case PeerMessage.RegistryChanged ignored -> incarnation.refreshRegistry();
+            case PeerMessage.Forward forward -> gateway.handleForward(from, forward);
+            case PeerMessage.ForwardCancel cancel -> gateway.handleForwardCancel(from, cancel.number());
+            case PeerMessage.ForwardReply reply -> gateway.handleForwardReply(reply);
             case PeerMessage.ManifestOffer offer -> manifest.offerFromPeer(offer.version(), from.incarnation());
-            case PeerMessage.ManifestAsk ignored -> offerManifest(from.incarnation(), from.link());
+            case PeerMessage.ManifestAsk ignored -> sendManifest(from.incarnation(), from.link());
         }
     }
 
     /**
-     * Hands all programs over and waits until no caller waits here.
+     * Hands all programs over to other nodes and waits until no caller request is open.
      *
      * @return completes when the process may exit
      */
@@ -298,7 +301,7 @@
         incarnation
                 .drain()
                 .whenCompleteAsync(
-                        (handedOver, failure) -> exitWhenUnused(
+                        (handedOver, failure) -> completeWhenNoOpenRequests(
                                 loop.clock().nanos()
                                         + settings.timings().drainTimeout().toNanos() * 2,
                                 done),
@@ -306,22 +309,24 @@
         return done;
     }
 
-    boolean leads(String subject) {
-        return incarnation.active() && incarnation.leads(subject);
+    boolean isResponsibleFor(String subject) {
+        return incarnation.isActive() && incarnation.isResponsibleFor(subject);
     }
 
-    private void exitWhenUnused(long limitNanos, CompletableFuture<Void> done) {
-        if (gateway.waiting() == 0 || loop.clock().nanos() > limitNanos) {
+    private void completeWhenNoOpenRequests(long limitNanos, CompletableFuture<Void> done) {
+        if (gateway.openRequestCount() == 0 || loop.clock().nanos() > limitNanos) {
             LOG.log(
                     Logger.Level.INFO,
-                    LogLine.of("drain_done").with("waiting", gateway.waiting()).toString());
+                    LogLine.of("drain_done")
+                            .with("waiting", gateway.openRequestCount())
+                            .toString());
             done.complete(null);
             return;
         }
-        loop.schedule(DRAIN_CHECK, () -> exitWhenUnused(limitNanos, done));
+        loop.schedule(DRAIN_CHECK_INTERVAL, () -> completeWhenNoOpenRequests(limitNanos, done));
     }
 
-    private void beginLife() {
+    private void startIncarnation() {
         String name =
                 settings.vm() + "-" + Long.toHexString(environment.random().nextLong());
         incarnation = new Incarnation(
@@ -330,30 +335,30 @@
                 name,
                 manifest,
                 new Upstreams(runners, calls),
-                record -> gateway.lost(record.incarnation()),
-                this::lifeOver);
+                record -> gateway.retryRequestsTo(record.incarnation()),
+                this::replaceIncarnation);
     }
 
-    private void lifeOver() {
+    private void replaceIncarnation() {
         String former = incarnation.name();
-        beginLife();
-        gateway.lost(former);
+        startIncarnation();
+        gateway.retryRequestsTo(former);
     }
 
-    private void manifestChanged(Manifest changed) {
+    private void applyManifest(Manifest changed) {
         runners.configure(changed);
         if (incarnation != null) {
             incarnation.broadcast(new PeerMessage.ManifestOffer(manifest.version()));
         }
     }
 
-    private void compareGenerations(NodeRecord peer, long generation) {
+    private void requestManifestIfNewer(NodeRecord peer, long generation) {
         if (generation > manifest.generation()) {
             incarnation.send(peer, new PeerMessage.ManifestAsk());
         }
     }
 
-    private void offerManifest(String to, String link) {
+    private void sendManifest(String to, String link) {
         if (manifest.version() != null) {
             environment
                     .links()
@@ -367,12 +372,12 @@
         }
     }
 
-    private void readManifest() {
+    private void pollManifest() {
         manifest.refresh()
                 .whenCompleteAsync(
                         (changed, failure) -> {
                             if (failure != null && manifest.version() == null) {
-                                manifest.platformSilent();
+                                manifest.markPlatformUnavailable();
                                 seedPeers.forEach(address -> environment
                                         .links()
                                         .send(
@@ -383,33 +388,33 @@
                                                         "",
                                                         new PeerMessage.ManifestAsk())));
                             }
-                            loop.schedule(MANIFEST_POLL, this::readManifest);
+                            loop.schedule(MANIFEST_POLL_INTERVAL, this::pollManifest);
                         },
                         loop);
     }
 
-    /** One node of each zone waits on the platform for the next manifest; a waiting watch costs a call. */
+    /** Long-polls the platform for the next manifest. Only one node of each zone does so, to limit platform calls. */
     private void watchManifest() {
-        if (!incarnation.active() || !watchesForZone()) {
-            loop.schedule(WATCH_RETRY, this::watchManifest);
+        if (!incarnation.isActive() || !isZoneWatcher()) {
+            loop.schedule(WATCH_RETRY_DELAY, this::watchManifest);
             return;
         }
         environment
                 .store()
-                .watch(ManifestKeeper.KEY, watchedVersion)
+                .watch(ManifestManager.KEY, watchedVersion)
                 .whenCompleteAsync(
                         (found, failure) -> {
                             if (failure == null && found.isPresent()) {
                                 watchedVersion = found.get().version();
                                 manifest.refresh();
                             }
-                            loop.schedule(failure == null ? Duration.ZERO : WATCH_RETRY, this::watchManifest);
+                            loop.schedule(failure == null ? Duration.ZERO : WATCH_RETRY_DELAY, this::watchManifest);
                         },
                         loop);
     }
 
-    private boolean watchesForZone() {
-        return incarnation.takers().stream()
+    private boolean isZoneWatcher() {
+        return incarnation.acceptingNodes().stream()
                 .filter(record -> record.zone().equals(settings.zone()))
                 .map(NodeRecord::incarnation)
                 .min(Comparator.naturalOrder())
@@ -424,28 +429,28 @@
                 .whenCompleteAsync(
                         (rows, failure) -> {
                             if (failure == null) {
-                                takeVms(rows);
+                                applyVmList(rows);
                             }
-                            loop.schedule(VM_POLL, this::pollVms);
+                            loop.schedule(VM_POLL_INTERVAL, this::pollVms);
                         },
                         loop);
     }
 
-    private void takeVms(List<VmEntry> rows) {
+    private void applyVmList(List<VmEntry> rows) {
         Set<String> leaving = new HashSet<>();
         rows.stream().filter(VmEntry::leaving).map(VmEntry::address).forEach(leaving::add);
-        leaving.stream().filter(listedLeaving::add).forEach(address -> markLeaving(address, true));
-        List<String> back = listedLeaving.stream()
+        leaving.stream().filter(leavingAddresses::add).forEach(address -> markLeaving(address, true));
+        List<String> returned = leavingAddresses.stream()
                 .filter(address -> !leaving.contains(address))
                 .toList();
-        back.forEach(address -> {
-            listedLeaving.remove(address);
+        returned.forEach(address -> {
+            leavingAddresses.remove(address);
             markLeaving(address, false);
         });
     }
 
     private void markLeaving(String address, boolean leaving) {
-        runners.leaving(address, leaving);
-        calls.leaving(address, leaving);
+        runners.setLeaving(address, leaving);
+        calls.setLeaving(address, leaving);
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/call/CallRunner.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/call/CallExecutor.java
@@ -19,95 +19,97 @@
 import org.parsleydrift.program.CallOutcome;
 
 /**
- * Makes calls of tools and plain services: a limit per operation, timeouts, and attempts as the operation allows.
- * Confined to the node's loop.
+ * Calls tools and services, with a concurrency limit, a timeout and a number of attempts for each operation. Confined
+ * to the node's event loop.
  *
- * <p>A non-repeatable call is tried again only if the attempt before did not run: no connection was made, or the
- * upstream says so. After anything else its outcome is unknown and it is not sent again.
+ * <p>A non-repeatable call is retried only if the previous attempt certainly did not run: no connection was made, or
+ * the upstream refused it. After any other failure its outcome is unknown and it is not sent again.
  */
-public final class CallRunner {
-    private static final Logger LOG = System.getLogger(CallRunner.class.getName());
-    private static final Duration BACKOFF = Duration.ofMillis(100);
-    /** An upstream that says itself that it is leaving may have been restarted; after this time it is tried again. */
-    private static final Duration BELIEVE_REFUSAL = Duration.ofSeconds(5);
+public final class CallExecutor {
+    private static final Logger LOG = System.getLogger(CallExecutor.class.getName());
+    private static final Duration INITIAL_BACKOFF = Duration.ofMillis(100);
+    /** An upstream that announced its shutdown may have been restarted by then. */
+    private static final Duration LEAVING_RETRY_DELAY = Duration.ofSeconds(5);
 
-    private static final int QUEUE_FACTOR = 8;
+    private static final int QUEUED_CALLS_PER_SLOT = 8;
 
     private final NodeEnvironment environment;
     private final EventLoop loop;
     private final Map<String, Integer> running = new HashMap<>();
     private final Map<String, Deque<Runnable>> queues = new HashMap<>();
-    private final Map<String, Long> leaving = new HashMap<>();
+    private final Map<String, Long> leavingUntilNanos = new HashMap<>();
 
     /**
-     * Makes a runner of calls.
+     * Creates an executor.
      *
-     * @param environment the outside
+     * @param environment event loop, clients and random source
      */
-    public CallRunner(NodeEnvironment environment) {
+    public CallExecutor(NodeEnvironment environment) {
         this.environment = environment;
         this.loop = environment.loop();
     }
 
     /**
-     * Notes that an upstream is leaving, or is not.
+     * Records whether an upstream is leaving. Leaving upstreams are used only if all upstreams of an operation are.
      *
-     * @param address the upstream
-     * @param now whether it is leaving
+     * @param address address of the upstream
+     * @param isLeaving whether it is leaving
      */
-    public void leaving(String address, boolean now) {
-        if (now) {
-            leaving.put(address, Long.MAX_VALUE);
+    public void setLeaving(String address, boolean isLeaving) {
+        if (isLeaving) {
+            leavingUntilNanos.put(address, Long.MAX_VALUE);
         } else {
-            leaving.remove(address);
+            leavingUntilNanos.remove(address);
         }
     }
 
     /**
-     * Makes a call.
+     * Makes a call, after waiting for a free slot of the operation if needed.
      *
-     * @param spec the operation
+     * @param spec limits, timeout and upstreams of the operation
      * @param request the call
-     * @param gate stands before each attempt
-     * @return how it ended; completes on the node's loop and never fails
+     * @param gate permits or denies each attempt
+     * @return the result, {@link CallOutcome#NOT_RUN} if too many calls are queued; completes on the event loop, never
+     *     exceptionally
      */
-    public CompletableFuture<CallEnd> run(OperationSpec spec, CallRequest request, EffectGate gate) {
-        CompletableFuture<CallEnd> end = new CompletableFuture<>();
+    public CompletableFuture<CallResult> execute(OperationSpec spec, CallRequest request, EffectGate gate) {
+        CompletableFuture<CallResult> result = new CompletableFuture<>();
         String operation = request.operation();
         Runnable start = () -> {
             running.merge(operation, 1, Integer::sum);
-            tryOnce(new Attempt(spec, request, gate, 1), end);
+            startAttempt(new Attempt(spec, request, gate, 1), result);
         };
         if (running.getOrDefault(operation, 0) < spec.concurrency()) {
             start.run();
         } else {
             Deque<Runnable> queue = queues.computeIfAbsent(operation, any -> new ArrayDeque<>());
-            if (queue.size() >= spec.concurrency() * QUEUE_FACTOR) {
-                return CompletableFuture.completedFuture(new CallEnd(CallOutcome.NOT_RUN, "too many calls wait"));
+            if (queue.size() >= spec.concurrency() * QUEUED_CALLS_PER_SLOT) {
+                return CompletableFuture.completedFuture(new CallResult(CallOutcome.NOT_RUN, "too many calls wait"));
             }
             queue.add(start);
         }
-        return end;
+        return result;
     }
 
-    private void tryOnce(Attempt attempt, CompletableFuture<CallEnd> end) {
+    private void startAttempt(Attempt attempt, CompletableFuture<CallResult> result) {
         attempt.gate()
                 .pass(
-                        () -> send(attempt, end),
-                        () -> finish(attempt.request(), new CallEnd(CallOutcome.NOT_RUN, "no longer the owner"), end));
+                        () -> send(attempt, result),
+                        () -> finish(
+                                attempt.request(), new CallResult(CallOutcome.NOT_RUN, "no longer the owner"), result));
     }
 
-    private void send(Attempt attempt, CompletableFuture<CallEnd> end) {
+    private void send(Attempt attempt, CompletableFuture<CallResult> result) {
         OperationSpec spec = attempt.spec();
         CallRequest request = attempt.request();
         int number = attempt.number();
         long now = loop.clock().nanos();
-        leaving.values().removeIf(until -> until < now);
+        leavingUntilNanos.values().removeIf(until -> until < now);
         List<String> usable = spec.upstreams().stream()
-                .filter(address -> !leaving.containsKey(address))
+                .filter(address -> !leavingUntilNanos.containsKey(address))
                 .toList();
-        List<String> from = usable.isEmpty() ? spec.upstreams() : usable;
-        String upstream = from.get(Math.floorMod(environment.random().nextInt() + number, from.size()));
+        List<String> candidates = usable.isEmpty() ? spec.upstreams() : usable;
+        String upstream = candidates.get(Math.floorMod(environment.random().nextInt() + number, candidates.size()));
         LOG.log(
                 Logger.Level.INFO,
                 LogLine.of("routing")
@@ -115,7 +117,7 @@
                         .with("operation", request.operation())
                         .with("upstream", upstream)
                         .with("attempt", number)
-                        .with("candidates", from.size())
+                        .with("candidates", candidates.size())
                         .toString());
         environment
                 .calls()
@@ -123,15 +125,15 @@
                 .whenCompleteAsync(
                         (answer, failure) -> {
                             if (failure == null) {
-                                finish(request, new CallEnd(CallOutcome.OK, answer), end);
+                                finish(request, new CallResult(CallOutcome.OK, answer), result);
                             } else {
-                                failed(attempt, failure, end);
+                                handleFailure(attempt, failure, result);
                             }
                         },
                         loop);
     }
 
-    private void failed(Attempt attempt, Throwable failure, CompletableFuture<CallEnd> end) {
+    private void handleFailure(Attempt attempt, Throwable failure, CompletableFuture<CallResult> result) {
         OperationSpec spec = attempt.spec();
         CallRequest request = attempt.request();
         int number = attempt.number();
@@ -144,12 +146,12 @@
                         .with("kind", kind)
                         .failure(failure)
                         .toString());
-        if (StepException.unwrap(failure) instanceof CallException known && known.isLeaving()) {
-            leaving.put(known.peer(), loop.clock().nanos() + BELIEVE_REFUSAL.toNanos());
+        if (StepException.unwrap(failure) instanceof CallException exception && exception.isLeaving()) {
+            leavingUntilNanos.put(exception.peer(), loop.clock().nanos() + LEAVING_RETRY_DELAY.toNanos());
         }
-        boolean again = kind == CallFailure.NOT_RUN || (kind == CallFailure.UNKNOWN && spec.repeatable());
-        if (again && number < spec.attempts()) {
-            loop.schedule(BACKOFF.multipliedBy(1L << (number - 1)), () -> tryOnce(attempt.next(), end));
+        boolean retry = kind == CallFailure.NOT_RUN || (kind == CallFailure.UNKNOWN && spec.repeatable());
+        if (retry && number < spec.attempts()) {
+            loop.schedule(INITIAL_BACKOFF.multipliedBy(1L << (number - 1)), () -> startAttempt(attempt.next(), result));
             return;
         }
         CallOutcome outcome = switch (kind) {
@@ -159,21 +161,21 @@
         };
         finish(
                 request,
-                new CallEnd(
+                new CallResult(
                         outcome, String.valueOf(StepException.unwrap(failure).getMessage())),
-                end);
+                result);
     }
 
-    private void finish(CallRequest request, CallEnd result, CompletableFuture<CallEnd> end) {
+    private void finish(CallRequest request, CallResult value, CompletableFuture<CallResult> result) {
         running.merge(request.operation(), -1, Integer::sum);
         Deque<Runnable> queue = queues.get(request.operation());
         if (queue != null && !queue.isEmpty()) {
             queue.poll().run();
         }
-        end.complete(result);
+        result.complete(value);
     }
 
-    /** An attempt of a call. */
+    /** One attempt of a call, numbered from 1. */
     private record Attempt(OperationSpec spec, CallRequest request, EffectGate gate, int number) {
         private Attempt next() {
             return new Attempt(spec, request, gate, number + 1);
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/JournalCompactor.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/JournalCompactor.java
@@ -6,13 +6,13 @@
 import org.parsleydrift.node.NodeEnvironment;
 
 /**
- * Bounds the journal: writes the states of programs whose oldest record lies far back again, and deletes the segments
- * that nothing rests on any more. A takeover reads no more than these. Confined to the node's loop.
+ * Bounds the length of the journal, and so the time of a takeover: rewrites programs that still need old segments, and
+ * deletes the segments that nothing references. Confined to the node's event loop.
  */
 public final class JournalCompactor {
-    private static final Duration PERIOD = Duration.ofSeconds(2);
-    private static final int KEPT_SEGMENTS = 256;
-    private static final int DELETES_AT_ONCE = 64;
+    private static final Duration INTERVAL = Duration.ofSeconds(2);
+    private static final int RETAINED_SEGMENTS = 256;
+    private static final int MAX_DELETES_PER_RUN = 64;
 
     private final NodeEnvironment environment;
     private final String incarnation;
@@ -22,12 +22,12 @@
     private boolean stopped;
 
     /**
-     * Makes a compactor that is not yet at work.
+     * Creates a compactor that is idle until {@link #start()}.
      *
-     * @param environment the outside
-     * @param incarnation the journal's owner
+     * @param environment gives access to the event loop and the platform
+     * @param incarnation the incarnation that writes the journal
      * @param journal the journal
-     * @param host the programs in it
+     * @param host the programs recorded in the journal
      */
     public JournalCompactor(NodeEnvironment environment, String incarnation, JournalWriter journal, ProgramHost host) {
         this.environment = environment;
@@ -36,12 +36,12 @@
         this.host = host;
     }
 
-    /** Begins to look after the journal. */
-    public void begin() {
-        environment.loop().schedule(PERIOD, this::run);
+    /** Starts periodic compaction. */
+    public void start() {
+        environment.loop().schedule(INTERVAL, this::run);
     }
 
-    /** Ends it. */
+    /** Stops compaction before its next run. */
     public void stop() {
         stopped = true;
     }
@@ -51,7 +51,7 @@
             return;
         }
         long base = journal.durableBase();
-        long end = Math.min(base, deletedBelow + DELETES_AT_ONCE);
+        long end = Math.min(base, deletedBelow + MAX_DELETES_PER_RUN);
         for (long sequence = deletedBelow; sequence < end; sequence++) {
             environment
                     .store()
@@ -59,8 +59,8 @@
                     .exceptionally(failure -> null);
         }
         deletedBelow = Math.max(deletedBelow, end);
-        host.rewriteOlderThan(journal.durableSequence() - KEPT_SEGMENTS);
-        journal.advanceBase(host.oldestNeeded());
-        environment.loop().schedule(PERIOD, this::run);
+        host.rewriteOlderThan(journal.durableSequence() - RETAINED_SEGMENTS);
+        journal.advanceBase(host.oldestReferencedSegment());
+        environment.loop().schedule(INTERVAL, this::run);
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/LiveProgram.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/LiveProgram.java
@@ -12,21 +12,21 @@
 import org.parsleydrift.program.ProgramState;
 import org.parsleydrift.program.ProgramStateMachine;
 
-/** A program on its owner: its state, and what is under way for it. Confined to the node's loop. */
+/** A program on its owner: its state, running steps and attached callers. Confined to the node's event loop. */
 final class LiveProgram {
     private ProgramState state;
     private BudgetLedger ledger;
-    private final Map<String, Cancellable> running = new HashMap<>();
-    private final Map<String, Integer> undurableTurns = new HashMap<>();
+    private final Map<String, Cancellable> runningSteps = new HashMap<>();
+    private final Map<String, Integer> nonDurableTurns = new HashMap<>();
     private final List<Attachment> attachments = new ArrayList<>();
     private final StringBuilder provisional = new StringBuilder();
     private JournalEntry lastEntry;
     private long answerLength;
     private int failures;
     private int attempts;
-    private long oldestNeeded;
+    private long oldestReferencedSegment;
     private boolean rewriting;
-    private long heldUntilNanos = Long.MIN_VALUE;
+    private long notBeforeNanos = Long.MIN_VALUE;
 
     LiveProgram(ProgramState state) {
         this.state = state;
@@ -38,13 +38,13 @@
         return state;
     }
 
-    /** Applies an event that was handed to the journal as the given entry. */
+    /** Applies an event that was appended to the journal as the given entry. */
     void apply(ProgramEvent event, JournalEntry entry) {
         state = ProgramStateMachine.apply(state, event);
         lastEntry = entry;
         if (event instanceof ProgramEvent.TurnEnded ended) {
-            undurableTurns.merge(ended.path(), 1, Integer::sum);
-            entry.durable().thenRun(() -> undurableTurns.merge(ended.path(), -1, Integer::sum));
+            nonDurableTurns.merge(ended.path(), 1, Integer::sum);
+            entry.durable().thenRun(() -> nonDurableTurns.merge(ended.path(), -1, Integer::sum));
             if (ended.path().equals(ProgramState.ROOT)) {
                 answerLength += ended.text().length();
                 provisional.setLength(0);
@@ -52,12 +52,12 @@
         }
     }
 
-    /** Completes when all that happened to the program so far is durable. */
+    /** Completes when all events of the program so far are durable. */
     CompletableFuture<Void> durable() {
         return lastEntry == null ? CompletableFuture.completedFuture(null) : lastEntry.durable();
     }
 
-    void journaled(JournalEntry entry) {
+    void setLastEntry(JournalEntry entry) {
         lastEntry = entry;
     }
 
@@ -65,20 +65,20 @@
         return lastEntry == null || lastEntry.durable().isDone();
     }
 
-    int undurableTurns(String path) {
-        return undurableTurns.getOrDefault(path, 0);
+    int nonDurableTurns(String path) {
+        return nonDurableTurns.getOrDefault(path, 0);
     }
 
     BudgetLedger ledger() {
         return ledger;
     }
 
-    void ledger(BudgetLedger changed) {
+    void setLedger(BudgetLedger changed) {
         ledger = changed;
     }
 
-    Map<String, Cancellable> running() {
-        return running;
+    Map<String, Cancellable> runningSteps() {
+        return runningSteps;
     }
 
     List<Attachment> attachments() {
@@ -89,21 +89,21 @@
         return provisional;
     }
 
-    /** Characters of the answer in ended turns. */
+    /** Returns the length of the answer up to the last completed turn, in characters. */
     long answerLength() {
         return answerLength;
     }
 
-    /** The answer with what the turn under way has said so far. */
-    String shown() {
+    /** Returns the answer including the output of the running turn. */
+    String visibleAnswer() {
         return state.answer() + provisional;
     }
 
-    int failedAgain() {
+    int recordFailure() {
         return failures++;
     }
 
-    void succeeded() {
+    void resetFailures() {
         failures = 0;
     }
 
@@ -111,30 +111,30 @@
         return attempts++;
     }
 
-    /** The number of the oldest journal segment that this program's state rests on. */
-    long oldestNeeded() {
-        return oldestNeeded;
+    /** Returns the oldest journal segment that is needed to reconstruct this program. */
+    long oldestReferencedSegment() {
+        return oldestReferencedSegment;
     }
 
-    void oldestNeeded(long sequence) {
-        oldestNeeded = sequence;
+    void setOldestReferencedSegment(long sequence) {
+        oldestReferencedSegment = sequence;
     }
 
-    /** Whether its state is on its way into the journal again. */
-    boolean rewriting() {
+    /** Returns whether the state is being rewritten to the journal. */
+    boolean isRewriting() {
         return rewriting;
     }
 
-    void rewriting(boolean now) {
-        rewriting = now;
+    void setRewriting(boolean isRewriting) {
+        rewriting = isRewriting;
     }
 
-    /** No step begins before this time of the loop's clock. */
-    long heldUntilNanos() {
-        return heldUntilNanos;
+    /** Returns the time before which no step may start, on the event loop's monotonic clock. */
+    long notBeforeNanos() {
+        return notBeforeNanos;
     }
 
-    void heldUntilNanos(long nanos) {
-        heldUntilNanos = nanos;
+    void setNotBeforeNanos(long nanos) {
+        notBeforeNanos = nanos;
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramHost.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramHost.java
@@ -26,66 +26,66 @@
 import org.parsleydrift.node.caller.CallerRequest;
 import org.parsleydrift.node.caller.RefusalKind;
 import org.parsleydrift.node.caller.ReplySink;
-import org.parsleydrift.node.manifest.ManifestInForce;
+import org.parsleydrift.node.manifest.CurrentManifest;
 import org.parsleydrift.program.ProgramEnd;
 import org.parsleydrift.program.ProgramEvent;
 import org.parsleydrift.program.ProgramId;
 import org.parsleydrift.program.ProgramState;
 import org.parsleydrift.program.ProgramStateMachine;
 
-/** The programs that this incarnation owns. Confined to the node's loop. */
+/** Runs the programs that this incarnation owns and records them in its journal. Confined to the node's event loop. */
 public final class ProgramHost {
     private static final Logger LOG = System.getLogger(ProgramHost.class.getName());
-    private static final long OUTAGE_RETRY_MILLIS = 2000;
-    private static final int MAX_PROMPT = 256 * 1024;
+    private static final long OUTAGE_RETRY_AFTER_MILLIS = 2000;
+    private static final int MAX_PROMPT_CHARACTERS = 256 * 1024;
 
     private final NodeEnvironment environment;
     private final EventLoop loop;
     private final NodeSettings.Timings timings;
     private final JournalWriter journal;
-    private final ManifestInForce manifest;
-    private final StepRunner steps;
+    private final CurrentManifest manifest;
+    private final StepExecutor stepExecutor;
     private final PauseGuard guard;
-    private final EffectGate strictGate;
-    private final AdmissionDoor door;
-    private final AdoptionMarks marks;
+    private final EffectGate leaseGate;
+    private final AdmissionController admission;
+    private final AdoptionMarkers markers;
     private final Map<ProgramId, LiveProgram> programs = new LinkedHashMap<>();
     private boolean stopped;
     private boolean draining;
 
     /**
-     * Makes an empty host.
+     * Creates a host without programs.
      *
-     * @param environment the outside
-     * @param timings limits
+     * @param environment event loop, metrics and random source
+     * @param timings timeouts and retention periods
      * @param journal this incarnation's journal
-     * @param manifest the manifest in force
-     * @param upstreams where steps are carried out
+     * @param manifest the current manifest
+     * @param upstreams execute the turns and calls of programs
      */
     public ProgramHost(
             NodeEnvironment environment,
             NodeSettings.Timings timings,
             JournalWriter journal,
-            ManifestInForce manifest,
+            CurrentManifest manifest,
             Upstreams upstreams) {
         this.environment = environment;
         this.loop = environment.loop();
         this.timings = timings;
         this.journal = journal;
         this.manifest = manifest;
-        this.steps = new StepRunner(environment, this, manifest, upstreams);
-        this.door = new AdmissionDoor(loop, timings, journal, manifest);
+        this.stepExecutor = new StepExecutor(environment, this, manifest, upstreams);
+        this.admission = new AdmissionController(loop, timings, journal, manifest);
         this.guard = new PauseGuard(loop, timings.pauseThreshold(), this::verifyOwnership);
-        this.strictGate = new FreshProofGate(guard, journal, timings.platformTimeout(), this::verifyOwnership);
-        this.marks = new AdoptionMarks(journal);
+        this.leaseGate = new OwnershipLeaseGate(guard, journal, timings.platformTimeout(), this::verifyOwnership);
+        this.markers = new AdoptionMarkers(journal);
     }
 
     /**
-     * Serves a request about a program that this node owns.
+     * Handles a request about a program that this node owns. Replies {@link CallerReply.Moved} after {@link #stop()}.
      *
      * @param request the request
      * @param sink receives the replies
-     * @return ends the interest in further replies
+     * @return cancels the delivery of further replies
      */
     public Runnable handle(CallerRequest request, ReplySink sink) {
         if (stopped) {
@@ -93,95 +93,96 @@
             return () -> {};
         }
         return switch (request) {
-            case CallerRequest.Start start -> begin(start, sink);
-            case CallerRequest.CallService call -> begin(call, sink);
-            case CallerRequest.Send send -> known(send, sink, live -> send(live, send, sink));
-            case CallerRequest.Attach attach -> known(attach, sink, live -> attach(live, attach.offset(), sink));
-            case CallerRequest.Cancel cancel -> known(cancel, sink, live -> cancel(live, sink));
-            case CallerRequest.Explain explain -> known(explain, sink, live -> explain(live, sink));
+            case CallerRequest.Start start -> start(start, sink);
+            case CallerRequest.CallService call -> start(call, sink);
+            case CallerRequest.Send send -> withProgram(send, sink, live -> send(live, send, sink));
+            case CallerRequest.Attach attach -> withProgram(attach, sink, live -> attach(live, attach.offset(), sink));
+            case CallerRequest.Cancel cancel -> withProgram(cancel, sink, live -> cancel(live, sink));
+            case CallerRequest.Explain explain -> withProgram(explain, sink, live -> explain(live, sink));
         };
     }
 
     /**
-     * Writes the programs of a share, and a mark behind them. They do not run before {@link #resume}.
+     * Writes the programs of a share, followed by an adoption marker. They do not run until {@link #resume}.
      *
-     * @param share the share
-     * @param states its programs
-     * @return completes when all are durable; fails if this journal is sealed
+     * @param share text of the share's id
+     * @param states states of its programs
+     * @return completes when the marker is durable; fails if this journal is sealed
      */
-    public CompletableFuture<Void> takeIn(String share, List<ProgramState> states) {
-        marks.expect(share);
+    public CompletableFuture<Void> persistShare(String share, List<ProgramState> states) {
+        markers.retainJournal(share);
         states.forEach(state -> Snapshots.appendTakenIn(journal, share, state));
-        return marks.write(share);
+        return markers.write(share);
     }
 
     /**
-     * Goes on with programs that were taken in durably.
+     * Resumes programs whose adoption is durable.
      *
-     * @param states their states
+     * @param states states of the programs
      */
     public void resume(List<ProgramState> states) {
         states.forEach(state -> {
             LiveProgram live = new LiveProgram(state);
             programs.put(state.id(), live);
-            live.oldestNeeded(1);
+            live.setOldestReferencedSegment(1);
             rewrite(live);
             if (state.hasEnded()) {
-                forgetLater(live);
+                scheduleRemoval(live);
             } else {
-                steps.settleLost(live);
-                expireLater(live);
+                stepExecutor.settleInterruptedSteps(live);
+                scheduleTimeLimit(live);
                 advance(live);
             }
         });
     }
 
     /**
-     * Stops keeping a mark: the node record tells that the share is here.
+     * Stops retaining an adoption marker, once the node record shows the share as adopted.
      *
-     * @param share the share
+     * @param share text of the share's id
      */
-    public void forgetMark(String share) {
-        marks.forget(share);
+    public void removeMarker(String share) {
+        markers.remove(share);
     }
 
-    /** Writes an empty record, to learn whether the journal still belongs to this incarnation. */
+    /** Verifies by a journal write that the journal is not sealed. */
     CompletableFuture<Void> verifyOwnership() {
         return journal.append(MessagePackCodec.encode(new JournalRecord.Probe()))
                 .durable();
     }
 
-    /** Begins no further step and no further program; what is under way goes on to its end. */
+    /** Starts no further steps; running steps complete. */
     public void drain() {
         draining = true;
     }
 
     /**
-     * Whether nothing is under way and all is durable.
+     * Returns whether no step is running and all records are durable.
      *
-     * @return true if the journal can be sealed without cutting a step
+     * @return true if the journal can be sealed without interrupting a step
      */
-    public boolean quiet() {
+    public boolean isIdle() {
         return journal.isIdle()
-                && programs.values().stream().allMatch(live -> live.running().isEmpty());
+                && programs.values().stream()
+                        .allMatch(live -> live.runningSteps().isEmpty());
     }
 
-    /** Ends all activity: another node owns the programs now. Callers are told to look for it. */
+    /** Stops all programs, since another node owns them now, and replies {@link CallerReply.Moved} to their callers. */
     public void stop() {
         stopped = true;
         guard.stop();
         programs.values().forEach(live -> {
-            live.running().values().forEach(Cancellable::cancel);
-            live.running().clear();
+            live.runningSteps().values().forEach(Cancellable::cancel);
+            live.runningSteps().clear();
             List.copyOf(live.attachments()).forEach(each -> each.end(new CallerReply.Moved()));
         });
         programs.clear();
     }
 
     /**
-     * The programs here.
+     * Returns the programs of this host.
      *
-     * @return states by id, ended ones among them
+     * @return states by id, including programs that ended within the retention period
      */
     public Map<ProgramId, ProgramState> states() {
         Map<ProgramId, ProgramState> states = new HashMap<>();
@@ -190,119 +191,117 @@
     }
 
     /**
-     * Whether a program is here and not over.
+     * Returns whether this host has a program that has not ended.
      *
      * @param id the program
-     * @return true if it is under way
+     * @return false if the program has ended or is unknown
      */
-    public boolean running(ProgramId id) {
+    public boolean isRunning(ProgramId id) {
         LiveProgram live = programs.get(id);
         return live != null && !live.state().hasEnded();
     }
 
-    /**
-     * Writes again whatever rests on segments below a number.
-     *
-     * @param sequence the number
-     */
+    /** Rewrites the programs and markers that need segments below the given sequence number. */
     void rewriteOlderThan(long sequence) {
         programs.values().stream()
-                .filter(live -> live.oldestNeeded() < sequence)
-                .filter(live -> !live.rewriting())
+                .filter(live -> live.oldestReferencedSegment() < sequence)
+                .filter(live -> !live.isRewriting())
                 .toList()
                 .forEach(this::rewrite);
-        marks.rewriteOlderThan(sequence);
+        markers.rewriteOlderThan(sequence);
     }
 
-    /** The lowest segment on which a program or a mark rests. */
-    long oldestNeeded() {
+    /** Returns the lowest segment that a program or an adoption marker needs. */
+    long oldestReferencedSegment() {
         long programsFrom = programs.values().stream()
-                .mapToLong(LiveProgram::oldestNeeded)
+                .mapToLong(LiveProgram::oldestReferencedSegment)
                 .min()
                 .orElse(Long.MAX_VALUE);
-        return Math.min(journal.durableSequence() + 1, Math.min(programsFrom, marks.oldestNeeded()));
+        return Math.min(journal.durableSequence() + 1, Math.min(programsFrom, markers.oldestReferencedSegment()));
     }
 
     private void rewrite(LiveProgram live) {
         long from = journal.durableSequence() + 1;
-        live.rewriting(true);
+        live.setRewriting(true);
         Snapshots.append(journal, live);
         live.durable().thenRun(() -> {
-            live.rewriting(false);
-            live.oldestNeeded(from);
+            live.setRewriting(false);
+            live.setOldestReferencedSegment(from);
         });
     }
 
-    private void expireLater(LiveProgram live) {
+    private void scheduleTimeLimit(LiveProgram live) {
         long now = loop.clock().instant().toEpochMilli();
         long end = live.state().startedMillis() + live.state().budget().seconds() * 1000L;
         loop.schedule(Duration.ofMillis(Math.max(0, end - now) + 1), () -> advance(live));
     }
 
-    boolean active(LiveProgram live) {
+    boolean isActive(LiveProgram live) {
         return !stopped && programs.get(live.state().id()) == live;
     }
 
-    /** Hands an event to the journal and applies it. */
+    /** Appends an event to the journal and applies it. */
     JournalEntry record(LiveProgram live, ProgramEvent event) {
         ProgramId id = live.state().id();
         boolean wasOver = live.state().hasEnded();
         JournalEntry entry = journal.append(MessagePackCodec.encode(new JournalRecord.OfProgram(id, event)));
         live.apply(event, entry);
         if (!wasOver && live.state().hasEnded()) {
-            ended(live);
+            handleEnd(live);
         }
         entry.durable().thenRun(() -> advance(live));
         return entry;
     }
 
-    /** Stands before effects outside: they wait after a pause until this node is known to own its programs. */
-    EffectGate gate() {
+    /** Returns the gate for repeatable calls, which delays them after a pause until ownership is verified. */
+    EffectGate effectGate() {
         return guard;
     }
 
-    /** Stands before effects that must not come late, behind those of a successor. */
-    EffectGate strictGate() {
-        return strictGate;
+    /** Returns the gate for effects that must not follow those of a successor. */
+    EffectGate leaseGate() {
+        return leaseGate;
     }
 
     /**
-     * Lets a program wait whose former owner may still send a call: its proof of ownership is good for the platform's
-     * timeout, and a pause shorter than the guard notices may come on top.
+     * Delays a program until its former owner can no longer make a call: its lease lasts for the platform timeout, plus
+     * a pause too short to be detected.
      */
-    void holdBack(LiveProgram live) {
+    void delayUntilLeaseExpiry(LiveProgram live) {
         Duration wait = timings.platformTimeout().plus(timings.pauseThreshold());
-        live.heldUntilNanos(loop.clock().nanos() + wait.toNanos());
+        live.setNotBeforeNanos(loop.clock().nanos() + wait.toNanos());
         loop.schedule(wait.plusMillis(1), () -> advance(live));
     }
 
-    /** Begins whatever the program needs next and is not under way. */
+    /** Starts the next steps of a program that are not running yet. */
     void advance(LiveProgram live) {
         Runnable begin = () -> {
-            if (active(live) && !draining && loop.clock().nanos() >= live.heldUntilNanos()) {
+            if (isActive(live) && !draining && loop.clock().nanos() >= live.notBeforeNanos()) {
                 long now = loop.clock().instant().toEpochMilli();
                 ProgramStateMachine.nextSteps(live.state(), now).stream()
-                        .filter(step -> !live.running().containsKey(step.key()))
+                        .filter(step -> !live.runningSteps().containsKey(step.key()))
                         .toList()
-                        .forEach(step -> steps.begin(live, step));
+                        .forEach(step -> stepExecutor.start(live, step));
             }
         };
         guard.pass(begin, () -> {});
     }
 
-    private Runnable begin(CallerRequest.Start start, ReplySink sink) {
-        LiveProgram known = programs.get(start.id());
-        if (known != null) {
-            return repeated(known, known.state().agent().equals(start.agent()), sink);
+    private Runnable start(CallerRequest.Start start, ReplySink sink) {
+        LiveProgram existing = programs.get(start.id());
+        if (existing != null) {
+            return acceptRepeat(existing, existing.state().agent().equals(start.agent()), sink);
         }
-        Optional<CallerReply.Refused> refusal = door.refusal(start.id(), start.first());
+        Optional<CallerReply.Refused> refusal = admission.refusal(start.id(), start.first());
         if (refusal.isPresent()) {
             return Refusals.refuse(sink, refusal.get());
         }
         ManifestVersion version = manifest.version();
         AgentSpec spec = manifest.manifest().agents().get(start.agent());
-        if (spec == null || start.prompt().length() > MAX_PROMPT) {
-            String reason = spec == null ? "no agent " + start.agent() : "prompt over " + MAX_PROMPT + " characters";
+        if (spec == null || start.prompt().length() > MAX_PROMPT_CHARACTERS) {
+            String reason = spec == null
+                    ? "no agent " + start.agent() + " in manifest generation " + version.generation()
+                    : "prompt has " + start.prompt().length() + " characters, limit is " + MAX_PROMPT_CHARACTERS;
             return Refusals.refuse(sink, Refusals.badRequest(reason));
         }
         var started = new ProgramEvent.Started(
@@ -313,24 +312,24 @@
                 version.generation(),
                 loop.clock().instant().toEpochMilli());
         LiveProgram live = add(ProgramStateMachine.start(started), started);
-        expireLater(live);
-        return whenAccepted(live, sink, () -> sink.reply(accepted(live)));
+        scheduleTimeLimit(live);
+        return replyWhenDurable(live, sink, () -> sink.reply(accepted(live)));
     }
 
-    private Runnable begin(CallerRequest.CallService call, ReplySink sink) {
-        LiveProgram known = programs.get(call.id());
-        if (known != null) {
-            boolean same = known.state().agent().equals(call.service());
-            return same
-                    ? attach(known, 0, sink)
-                    : Refusals.refuse(sink, Refusals.badRequest("the key was used for another request"));
+    private Runnable start(CallerRequest.CallService call, ReplySink sink) {
+        LiveProgram existing = programs.get(call.id());
+        if (existing != null) {
+            boolean sameRequest = existing.state().agent().equals(call.service());
+            return sameRequest
+                    ? attach(existing, 0, sink)
+                    : Refusals.refuse(sink, Refusals.badRequest("id " + call.id() + " is used by another request"));
         }
-        Optional<CallerReply.Refused> refusal = door.refusal(call.id(), call.first());
+        Optional<CallerReply.Refused> refusal = admission.refusal(call.id(), call.first());
         if (refusal.isPresent()) {
             return Refusals.refuse(sink, refusal.get());
         }
         if (!manifest.manifest().services().containsKey(call.service())) {
-            return Refusals.refuse(sink, Refusals.badRequest("no service " + call.service()));
+            return Refusals.refuse(sink, Refusals.badRequest("no service " + call.service() + " in the manifest"));
         }
         var started = new ProgramEvent.CallStarted(
                 call.id(),
@@ -346,7 +345,7 @@
     private LiveProgram add(ProgramState state, ProgramEvent first) {
         LiveProgram live = new LiveProgram(state);
         programs.put(state.id(), live);
-        live.oldestNeeded(journal.durableSequence() + 1);
+        live.setOldestReferencedSegment(journal.durableSequence() + 1);
         LOG.log(
                 Logger.Level.INFO,
                 LogLine.of("program_accepted")
@@ -360,10 +359,10 @@
     }
 
     /**
-     * Replies once all that happened to the program is durable. If the platform does not answer in time the record may
-     * be durable or may yet become so: nobody can know, and the caller is told so.
+     * Replies once all events of the program are durable. If the platform does not answer in time, the events may still
+     * become durable, so the request is refused with an unknown outcome.
      */
-    private Runnable whenAccepted(LiveProgram live, ReplySink sink, Runnable reply) {
+    private Runnable replyWhenDurable(LiveProgram live, ReplySink sink, Runnable reply) {
         boolean[] replied = {false};
         live.durable().whenComplete((done, failure) -> {
             if (!replied[0]) {
@@ -382,18 +381,19 @@
                         RefusalKind.OUTCOME_UNKNOWN,
                         Step.COMMIT,
                         "platform",
-                        "the platform does not answer; ask again with the same key",
-                        OUTAGE_RETRY_MILLIS));
+                        "the platform has not answered the journal write; retry with the same key",
+                        OUTAGE_RETRY_AFTER_MILLIS));
             }
         });
         return () -> replied[0] = true;
     }
 
-    private Runnable repeated(LiveProgram live, boolean same, ReplySink sink) {
-        if (!same) {
-            return Refusals.refuse(sink, Refusals.badRequest("the key was used for another request"));
+    private Runnable acceptRepeat(LiveProgram live, boolean sameRequest, ReplySink sink) {
+        if (!sameRequest) {
+            return Refusals.refuse(
+                    sink, Refusals.badRequest("id " + live.state().id() + " is used by another request"));
         }
-        return whenAccepted(live, sink, () -> sink.reply(accepted(live)));
+        return replyWhenDurable(live, sink, () -> sink.reply(accepted(live)));
     }
 
     private static CallerReply accepted(LiveProgram live) {
@@ -402,27 +402,28 @@
 
     private Runnable send(LiveProgram live, CallerRequest.Send send, ReplySink sink) {
         if (live.state().hasEnded() && !live.state().messages().containsKey(send.key())) {
-            return Refusals.refuse(sink, Refusals.notRun("the program is over", 0));
+            return Refusals.refuse(
+                    sink, Refusals.notRun("program has ended: " + live.state().end(), 0));
         }
         if (!live.state().messages().containsKey(send.key())) {
             record(live, new ProgramEvent.MessageArrived(send.key(), send.text()));
             advance(live);
         }
-        return whenAccepted(live, sink, () -> sink.reply(accepted(live)));
+        return replyWhenDurable(live, sink, () -> sink.reply(accepted(live)));
     }
 
     private Runnable cancel(LiveProgram live, ReplySink sink) {
         if (!live.state().hasEnded()) {
             record(live, new ProgramEvent.Stopped(ProgramEnd.CANCELLED, "by the caller"));
         }
-        return whenAccepted(live, sink, () -> sink.reply(accepted(live)));
+        return replyWhenDurable(live, sink, () -> sink.reply(accepted(live)));
     }
 
     private Runnable attach(LiveProgram live, long offset, ReplySink sink) {
         Attachment attachment = new Attachment(sink, offset);
         live.attachments().add(attachment);
-        attachment.show(live.shown());
-        tellEnd(live);
+        attachment.sendMissing(live.visibleAnswer());
+        notifyEnd(live);
         return () -> {
             attachment.close();
             live.attachments().remove(attachment);
@@ -435,21 +436,21 @@
     }
 
     /**
-     * Acts on a program that is here. "Unknown" is said only on a fresh proof of ownership: a node that was cut off may
-     * have lost its journal to a successor that knows the program well.
+     * Applies an action to a program of this host. An unknown program is refused only under a lease, since a
+     * partitioned node may have lost its journal to a successor that has the program.
      */
-    private Runnable known(CallerRequest request, ReplySink sink, Function<LiveProgram, Runnable> act) {
+    private Runnable withProgram(CallerRequest request, ReplySink sink, Function<LiveProgram, Runnable> action) {
         LiveProgram live = programs.get(request.id());
         if (live != null) {
-            return act.apply(live);
+            return action.apply(live);
         }
-        strictGate.pass(() -> sink.reply(Refusals.unknown(request.id())), () -> sink.reply(new CallerReply.Moved()));
+        leaseGate.pass(() -> sink.reply(Refusals.unknown(request.id())), () -> sink.reply(new CallerReply.Moved()));
         return () -> {};
     }
 
-    private void ended(LiveProgram live) {
-        live.running().values().forEach(Cancellable::cancel);
-        live.running().clear();
+    private void handleEnd(LiveProgram live) {
+        live.runningSteps().values().forEach(Cancellable::cancel);
+        live.runningSteps().clear();
         ProgramState state = live.state();
         LOG.log(
                 Logger.Level.INFO,
@@ -464,13 +465,13 @@
                 .meters()
                 .counter("parsleydrift.programs.ended", "end", state.end().name())
                 .increment();
-        steps.release(state.id());
-        live.durable().thenRun(() -> tellEnd(live));
-        forgetLater(live);
+        stepExecutor.release(state.id());
+        live.durable().thenRun(() -> notifyEnd(live));
+        scheduleRemoval(live);
     }
 
-    /** Tells callers the end only once it is durable: a successor could otherwise come to another one. */
-    private void tellEnd(LiveProgram live) {
+    /** Notifies callers of the end once it is durable; before that, a successor could reach a different end. */
+    private void notifyEnd(LiveProgram live) {
         if (!live.state().hasEnded() || !live.isDurable() || live.durable().isCompletedExceptionally()) {
             return;
         }
@@ -478,20 +479,20 @@
         String answer = state.answer();
         List<Attachment> all = new ArrayList<>(live.attachments());
         live.attachments().clear();
-        boolean plainCall = PlainCalls.is(state);
+        boolean plainCall = PlainCalls.isPlainCall(state);
         all.forEach(each -> {
             if (plainCall) {
                 each.end(PlainCalls.answer(state));
             } else {
-                each.show(answer);
+                each.sendMissing(answer);
                 each.end(new CallerReply.Ended(state.end(), state.detail(), answer.length()));
             }
         });
     }
 
-    private void forgetLater(LiveProgram live) {
+    private void scheduleRemoval(LiveProgram live) {
         loop.schedule(timings.answerRetention(), () -> {
-            if (active(live)) {
+            if (isActive(live)) {
                 programs.remove(live.state().id());
             }
         });
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/manifest/ManifestKeeper.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/manifest/ManifestManager.java
@@ -21,14 +21,14 @@
 import org.parsleydrift.manifest.ManifestVersion;
 
 /**
- * Keeps the manifest in force: one object on the platform, changed by conditional update; a node never goes back to a
- * lower generation (docs/design/manifest.md). Confined to the node's loop.
+ * Holds the current manifest. The platform stores it in one object, changed by conditional update; a node never reverts
+ * to a lower generation (docs/design/manifest.md). Confined to the node's event loop.
  */
-public final class ManifestKeeper implements ManifestInForce {
-    /** The object's name on the platform. */
+public final class ManifestManager implements CurrentManifest {
+    /** Key of the manifest object on the platform. */
     public static final String KEY = "manifest/current";
 
-    private static final Logger LOG = System.getLogger(ManifestKeeper.class.getName());
+    private static final Logger LOG = System.getLogger(ManifestManager.class.getName());
     private static final Manifest EMPTY = new Manifest(null, null, Map.of(), Map.of(), null, null);
 
     private final EventLoop loop;
@@ -37,19 +37,19 @@
     private final Consumer<Manifest> onChange;
     private ManifestVersion version;
     private Manifest manifest = EMPTY;
-    private ManifestVersion noted;
-    private boolean platformSilent;
+    private ManifestVersion pendingPeerVersion;
+    private boolean platformUnavailable;
     private boolean known;
 
     /**
-     * Makes a keeper with no manifest.
+     * Creates a manager without a manifest.
      *
-     * @param loop the node's loop
-     * @param store the platform
-     * @param timeout how long to wait for the platform
-     * @param onChange told each manifest that comes into force
+     * @param loop the node's event loop
+     * @param store object store of the platform
+     * @param timeout timeout of a platform request
+     * @param onChange called with each manifest that becomes current
      */
-    public ManifestKeeper(EventLoop loop, ObjectStore store, Duration timeout, Consumer<Manifest> onChange) {
+    public ManifestManager(EventLoop loop, ObjectStore store, Duration timeout, Consumer<Manifest> onChange) {
         this.loop = loop;
         this.store = store;
         this.timeout = timeout;
@@ -67,55 +67,56 @@
     }
 
     /**
-     * The generation in force.
+     * Returns the generation of the current manifest.
      *
-     * @return the generation, 0 before the first
+     * @return the generation, or 0 if no manifest is known
      */
     public long generation() {
         return version == null ? 0 : version.generation();
     }
 
     /**
-     * Whether this node knows which manifest is in force, or that there is none. Until then it must own no program: it
-     * would end those that come to it, since it knows none of their agents.
+     * Returns whether this node knows the current manifest or that none exists. Until then it must not own programs: it
+     * would end them, since their agents are missing from the empty manifest.
      *
-     * @return true after the first answer of the platform or of a peer
+     * @return true after the first answer from the platform, or a manifest from a peer if the platform is unavailable
      */
-    public boolean known() {
+    public boolean isKnown() {
         return known;
     }
 
     /**
-     * Takes a manifest that a peer tells. Until the platform has answered or failed to, it is only noted: a peer may lag
-     * behind what this VM's former process had in force already, and the platform does not.
+     * Handles a manifest sent by a peer. It is not activated before the first platform request has been answered or has
+     * failed: the peer may have an older generation than this VM's previous process already used.
      *
-     * @param found the manifest
-     * @param peer the peer
+     * @param found the peer's manifest
+     * @param peer the peer's incarnation, for the log
      */
     public void offerFromPeer(ManifestVersion found, String peer) {
-        if (known || platformSilent) {
-            offer(found, peer);
-        } else if (noted == null || noted.generation() < found.generation()) {
-            noted = found;
+        if (known || platformUnavailable) {
+            activateIfNewer(found, peer);
+        } else if (pendingPeerVersion == null || pendingPeerVersion.generation() < found.generation()) {
+            pendingPeerVersion = found;
         }
     }
 
-    /** The platform does not answer: what peers tell is the best there is. */
-    public void platformSilent() {
-        platformSilent = true;
-        if (noted != null) {
-            offer(noted, "peers");
+    /** Records that the platform did not answer, and activates the newest manifest that a peer has sent. */
+    public void markPlatformUnavailable() {
+        platformUnavailable = true;
+        if (pendingPeerVersion != null) {
+            activateIfNewer(pendingPeerVersion, "peers");
         }
     }
 
     /**
-     * Puts a manifest into force unless it is no newer than the present one.
+     * Makes a manifest the current one if its generation is higher.
      *
      * @param found the manifest
-     * @param source where it came from, for the log
-     * @return true if it is in force now and was not before
+     * @param source where it was obtained, for the log
+     * @return true if it replaced the previous manifest
+     * @throws StepException if the text is not a valid manifest
      */
-    public boolean offer(ManifestVersion found, String source) {
+    public boolean activateIfNewer(ManifestVersion found, String source) {
         if (found.generation() <= generation()) {
             return false;
         }
@@ -134,39 +135,41 @@
     }
 
     /**
-     * Reads the platform's manifest and puts it into force if it is newer.
+     * Reads the manifest from the platform and activates it if its generation is higher.
      *
-     * @return completes with true if a newer one came into force
+     * @return completes with true if the current manifest changed; fails if the platform does not answer
      */
     public CompletableFuture<Boolean> refresh() {
-        return bounded(store.read(KEY))
+        return withTimeout(store.read(KEY))
                 .thenApplyAsync(
                         found -> {
                             known = true;
-                            return found.map(object -> offer(decode(object), "platform"))
+                            return found.map(object -> activateIfNewer(decode(object), "platform"))
                                     .orElse(false);
                         },
                         loop);
     }
 
     /**
-     * Accepts a manifest, whole or not at all.
+     * Validates a manifest, stores it on the platform and activates it.
      *
      * @param text the manifest
-     * @param expected the generation that the operator saw, or -1 for any
-     * @return the version in force then; fails with a {@link StepException} that says what stands against it
+     * @param expected the generation that it replaces, or -1 for any
+     * @return the stored version; fails with a {@link StepException} if another generation was stored first
+     * @throws StepException if the text is not a valid manifest
      */
     public CompletableFuture<ManifestVersion> submit(String text, long expected) {
         ManifestParser.parse("manifest", text);
-        return bounded(store.read(KEY))
+        return withTimeout(store.read(KEY))
                 .thenComposeAsync(
                         found -> {
-                            long present = found.map(object -> decode(object).generation())
+                            long currentGeneration = found.map(
+                                            object -> decode(object).generation())
                                     .orElse(0L);
-                            if (expected >= 0 && expected != present) {
-                                return CompletableFuture.failedFuture(raced(present));
+                            if (expected >= 0 && expected != currentGeneration) {
+                                return CompletableFuture.failedFuture(generationConflict(currentGeneration));
                             }
-                            return write(found, new ManifestVersion(present + 1, text));
+                            return write(found, new ManifestVersion(currentGeneration + 1, text));
                         },
                         loop);
     }
@@ -176,56 +179,56 @@
         CompletableFuture<Long> written = found.isEmpty()
                 ? store.create(KEY, bytes)
                 : store.update(KEY, found.get().version(), bytes);
-        return bounded(written)
+        return withTimeout(written)
                 .handleAsync(
                         (done, failure) -> {
                             if (failure == null) {
-                                offer(next, "submit");
+                                activateIfNewer(next, "submit");
                                 return CompletableFuture.completedFuture(next);
                             }
-                            return confirm(next, failure);
+                            return verifyWrite(next, failure);
                         },
                         loop)
                 .thenCompose(result -> result);
     }
 
     /**
-     * After a conflict or a lost answer, reads what is there. The update may have taken effect although its answer was
-     * lost: telling the operator that it failed would then be wrong.
+     * Reads the manifest back after a conflict or a lost answer, since an update whose answer was lost may have taken
+     * effect.
      */
-    private CompletableFuture<ManifestVersion> confirm(ManifestVersion mine, Throwable failure) {
+    private CompletableFuture<ManifestVersion> verifyWrite(ManifestVersion submitted, Throwable failure) {
         if (StoreException.of(failure) == StoreFailure.REFUSED) {
             return CompletableFuture.failedFuture(failure);
         }
-        return bounded(store.read(KEY))
+        return withTimeout(store.read(KEY))
                 .thenComposeAsync(
                         found -> {
-                            ManifestVersion there =
-                                    found.map(ManifestKeeper::decode).orElse(null);
-                            if (mine.equals(there)) {
-                                offer(mine, "submit");
-                                return CompletableFuture.completedFuture(mine);
+                            ManifestVersion stored =
+                                    found.map(ManifestManager::decode).orElse(null);
+                            if (submitted.equals(stored)) {
+                                activateIfNewer(submitted, "submit");
+                                return CompletableFuture.completedFuture(submitted);
                             }
                             return CompletableFuture.failedFuture(
-                                    there != null && there.generation() >= mine.generation()
-                                            ? raced(there.generation())
+                                    stored != null && stored.generation() >= submitted.generation()
+                                            ? generationConflict(stored.generation())
                                             : failure);
                         },
                         loop);
     }
 
-    private static StepException raced(long present) {
+    private static StepException generationConflict(long currentGeneration) {
         return new StepException(
                 Step.MANIFEST,
                 "platform",
-                "not accepted: generation " + present + " came first; read it and submit again");
+                "manifest rejected: generation " + currentGeneration + " is already stored; read it and submit again");
     }
 
     private static ManifestVersion decode(StoredObject object) {
         return MessagePackCodec.decode(object.value(), ManifestVersion.class, "platform");
     }
 
-    private <T> CompletableFuture<T> bounded(CompletableFuture<T> answer) {
+    private <T> CompletableFuture<T> withTimeout(CompletableFuture<T> answer) {
         return Deadline.withTimeout(loop, answer, timeout, KEY);
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/NodeRegistry.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/NodeRegistry.java
@@ -18,7 +18,7 @@
 import org.parsleydrift.node.NodeEnvironment;
 import org.parsleydrift.node.NodeSettings;
 
-/** This node's copy of the node records, read from the platform. Confined to the node's loop. */
+/** Local cache of the node records on the platform. Confined to the node's event loop. */
 public final class NodeRegistry {
     private static final Logger LOG = System.getLogger(NodeRegistry.class.getName());
 
@@ -27,15 +27,15 @@
     private final Consumer<NodeRecord> onChange;
     private final Map<String, NodeRecord> records = new HashMap<>();
     private final Map<String, Long> versions = new HashMap<>();
-    private CompletableFuture<Void> refreshing;
+    private CompletableFuture<Void> pendingRefresh;
     private boolean loaded;
 
     /**
-     * Makes an empty copy.
+     * Creates an empty registry.
      *
-     * @param environment the outside
-     * @param timings how long to wait for the platform
-     * @param onChange told each record that is new or changed
+     * @param environment gives access to the platform
+     * @param timings timeouts of platform requests
+     * @param onChange called with each record that is new or changed
      */
     public NodeRegistry(NodeEnvironment environment, NodeSettings.Timings timings, Consumer<NodeRecord> onChange) {
         this.environment = environment;
@@ -44,56 +44,57 @@
     }
 
     /**
-     * All records known.
+     * Returns all cached records.
      *
-     * @return records by incarnation
+     * @return the live map of records by incarnation
      */
     public Map<String, NodeRecord> records() {
         return records;
     }
 
     /**
-     * Finds a record.
+     * Finds a cached record.
      *
-     * @param incarnation the incarnation
-     * @return its record, if known
+     * @param incarnation name of the incarnation
+     * @return the record, or empty if it has not been read
      */
     public Optional<NodeRecord> find(String incarnation) {
         return Optional.ofNullable(records.get(incarnation));
     }
 
     /**
-     * Whether the records were read at least once.
+     * Returns whether all records have been read at least once.
      *
-     * @return true after the first whole read
+     * @return true after the first complete refresh
      */
-    public boolean loaded() {
+    public boolean isLoaded() {
         return loaded;
     }
 
     /**
-     * Reads what is new. A read under way serves all who ask meanwhile.
+     * Reads new and changed records. Joins a refresh that is already running.
      *
-     * @return completes when the copy is as the platform was; fails if the platform does not answer
+     * @return completes when the records are read; fails if the platform does not answer
      */
     public CompletableFuture<Void> refresh() {
-        if (refreshing == null) {
-            CompletableFuture<Void> started = bounded(environment.store().list(NodeRecord.prefix()))
+        if (pendingRefresh == null) {
+            CompletableFuture<Void> started = withTimeout(environment.store().list(NodeRecord.prefix()))
                     .thenComposeAsync(this::readChanged, environment.loop());
-            refreshing = started.whenCompleteAsync((done, failure) -> refreshing = null, environment.loop());
+            pendingRefresh = started.whenCompleteAsync((done, failure) -> pendingRefresh = null, environment.loop());
         }
-        return refreshing;
+        return pendingRefresh;
     }
 
     /**
-     * Reads what is new, beginning after this call: a read under way may have passed what the caller must not miss.
+     * Reads new and changed records in a refresh that starts after this call, since a running one may have missed the
+     * latest changes.
      *
-     * @return completes when the copy is as the platform was; fails if the platform does not answer
+     * @return completes when the records are read; fails if the platform does not answer
      */
-    public CompletableFuture<Void> refreshAnew() {
-        return refreshing == null
+    public CompletableFuture<Void> refreshAgain() {
+        return pendingRefresh == null
                 ? refresh()
-                : refreshing
+                : pendingRefresh
                         .handleAsync((done, failure) -> refresh(), environment.loop())
                         .thenCompose(each -> each);
     }
@@ -102,25 +103,25 @@
      * Creates this node's own record.
      *
      * @param record the record
-     * @return completes when the platform holds it
+     * @return completes when the platform has stored it; fails if the record exists or the platform does not answer
      */
     public CompletableFuture<Void> create(NodeRecord record) {
         String key = NodeRecord.key(record.incarnation());
-        return bounded(environment.store().create(key, MessagePackCodec.encode(record)))
-                .thenAcceptAsync(version -> take(key, version, record), environment.loop());
+        return withTimeout(environment.store().create(key, MessagePackCodec.encode(record)))
+                .thenAcceptAsync(version -> apply(key, version, record), environment.loop());
     }
 
     /**
-     * Changes a record by conditional update, again after a conflict. The change must be idempotent: an answer can be
-     * lost after the update took effect.
+     * Changes a record by conditional update and retries after a conflict. The change must be idempotent, since an
+     * update may take effect although its answer is lost.
      *
-     * @param incarnation the record
-     * @param change makes the new record of the present one
-     * @return the record as it is then; fails if the platform does not answer
+     * @param incarnation name of the incarnation
+     * @param change computes the new record from the stored one; returns an equal record for no change
+     * @return the stored record after the change; fails if there is no record or the platform does not answer
      */
     public CompletableFuture<NodeRecord> change(String incarnation, UnaryOperator<NodeRecord> change) {
         String key = NodeRecord.key(incarnation);
-        return bounded(environment.store().read(key))
+        return withTimeout(environment.store().read(key))
                 .thenComposeAsync(
                         found -> found.isEmpty()
                                 ? CompletableFuture.failedFuture(new StoreException(StoreFailure.ABSENT, key))
@@ -133,14 +134,14 @@
         NodeRecord before = decode(found);
         NodeRecord after = change.apply(before);
         if (after.equals(before)) {
-            take(found.key(), found.version(), before);
+            apply(found.key(), found.version(), before);
             return CompletableFuture.completedFuture(before);
         }
-        return bounded(environment.store().update(found.key(), found.version(), MessagePackCodec.encode(after)))
+        return withTimeout(environment.store().update(found.key(), found.version(), MessagePackCodec.encode(after)))
                 .handleAsync(
                         (version, failure) -> {
                             if (failure == null) {
-                                take(found.key(), version, after);
+                                apply(found.key(), version, after);
                                 return CompletableFuture.completedFuture(after);
                             }
                             return StoreException.of(failure) == StoreFailure.CONFLICT
@@ -154,17 +155,17 @@
     private CompletableFuture<Void> readChanged(List<StoredObject> rows) {
         List<CompletableFuture<Void>> reads = rows.stream()
                 .filter(row -> !Objects.equals(versions.get(row.key()), row.version()))
-                .map(row -> bounded(environment.store().read(row.key()))
+                .map(row -> withTimeout(environment.store().read(row.key()))
                         .thenAcceptAsync(
-                                found ->
-                                        found.ifPresent(object -> take(object.key(), object.version(), decode(object))),
+                                found -> found.ifPresent(
+                                        object -> apply(object.key(), object.version(), decode(object))),
                                 environment.loop()))
                 .toList();
         return CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new))
                 .thenRunAsync(() -> loaded = true, environment.loop());
     }
 
-    private void take(String key, long version, NodeRecord record) {
+    private void apply(String key, long version, NodeRecord record) {
         if (versions.getOrDefault(key, 0L) >= version) {
             return;
         }
@@ -176,7 +177,7 @@
                         .with("node", record.incarnation())
                         .with("version", version)
                         .with("draining", record.draining())
-                        .with("sealed", record.over())
+                        .with("sealed", record.hasSealedJournal())
                         .toString());
         onChange.accept(record);
     }
@@ -185,7 +186,7 @@
         return MessagePackCodec.decode(object.value(), NodeRecord.class, "platform");
     }
 
-    private <T> CompletableFuture<T> bounded(CompletableFuture<T> answer) {
+    private <T> CompletableFuture<T> withTimeout(CompletableFuture<T> answer) {
         return Deadline.withTimeout(environment.loop(), answer, timings.platformTimeout(), NodeRecord.prefix());
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/ownership/Takeover.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/ownership/Takeover.java
@@ -26,12 +26,13 @@
 import org.parsleydrift.program.ProgramState;
 
 /**
- * Seals the journals of nodes that are gone, takes in the shares of them that are this node's, and gives shares on whose
- * holder is gone as well (docs/design/journal.md). Confined to the node's loop.
+ * Recovers the programs of failed and drained nodes: seals their journals, adopts the shares assigned to this node, and
+ * reassigns shares whose holder has failed before adopting them (docs/design/journal.md). Confined to the node's event
+ * loop.
  */
 public final class Takeover {
     private static final Logger LOG = System.getLogger(Takeover.class.getName());
-    private static final Duration RETRY = Duration.ofMillis(300);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
     private final EventLoop loop;
     private final String self;
@@ -39,30 +40,31 @@
     private final NodeRegistry registry;
     private final OwnerDirectory directory;
     private final ProgramHost host;
-    private final Surroundings surroundings;
+    private final ClusterView cluster;
     private final Set<String> sealing = new HashSet<>();
-    private final Set<ShareId> busy = new HashSet<>();
+    private final Set<ShareId> inProgress = new HashSet<>();
     private boolean stopped;
 
     /**
-     * What a takeover needs to know of the fleet.
+     * Access to the state of the cluster.
      *
-     * @param takers incarnations that take work
-     * @param leads whether this node is the one to look after a subject
-     * @param tellChange tells the others that node records changed
+     * @param acceptingNodes supplies the incarnations that accept work
+     * @param isResponsibleFor tests whether this node is responsible for a subject
+     * @param notifyRegistryChange notifies the peers that node records changed
      */
-    public record Surroundings(Supplier<List<String>> takers, Predicate<String> leads, Runnable tellChange) {}
+    public record ClusterView(
+            Supplier<List<String>> acceptingNodes, Predicate<String> isResponsibleFor, Runnable notifyRegistryChange) {}
 
     /**
-     * Makes a takeover without work.
+     * Creates a takeover that is idle until {@link #seal} or {@link #processShares} is called.
      *
-     * @param loop the node's loop
-     * @param self this node's incarnation
+     * @param loop the node's event loop
+     * @param self name of this incarnation
      * @param reader reads and seals journals
      * @param registry the node records
-     * @param directory who owns what
-     * @param host where programs go
-     * @param surroundings the fleet
+     * @param directory records adopted shares
+     * @param host runs the adopted programs
+     * @param cluster state of the cluster
      */
     public Takeover(
             EventLoop loop,
@@ -71,28 +73,28 @@
             NodeRegistry registry,
             OwnerDirectory directory,
             ProgramHost host,
-            Surroundings surroundings) {
+            ClusterView cluster) {
         this.loop = loop;
         this.self = self;
         this.reader = reader;
         this.registry = registry;
         this.directory = directory;
         this.host = host;
-        this.surroundings = surroundings;
+        this.cluster = cluster;
     }
 
-    /** Ends all activity. */
+    /** Stops seals and adoptions; a running adoption no longer resumes its programs. */
     public void stop() {
         stopped = true;
     }
 
     /**
-     * Seals a journal and tells the others. Fails if the platform does not answer; whoever suspects the node tries
-     * again.
+     * Seals a journal, records the seal in the node record and notifies the peers. Does nothing if a seal of the same
+     * journal is in progress.
      *
-     * @param incarnation the journal's owner
-     * @param successors incarnations that take over, not empty
-     * @return completes when the seal is known to all who read the node records
+     * @param incarnation the incarnation that wrote the journal
+     * @param successors incarnations that adopt its programs, not empty
+     * @return completes when the node record names the seal; fails if the platform does not answer
      */
     public CompletableFuture<Void> seal(String incarnation, List<String> successors) {
         if (stopped || !sealing.add(incarnation)) {
@@ -110,7 +112,7 @@
                             if (failure != null) {
                                 throw new CompletionException(failure);
                             }
-                            surroundings.tellChange().run();
+                            cluster.notifyRegistryChange().run();
                             return null;
                         },
                         loop);
@@ -127,42 +129,43 @@
         LOG.log(Logger.Level.WARNING, line.toString());
     }
 
-    /** Looks at all sealed journals whose shares are not all durable elsewhere, and does what falls to this node. */
-    public void work() {
+    /** Adopts, confirms or reassigns the shares of sealed journals that this node is responsible for. */
+    public void processShares() {
         if (stopped) {
             return;
         }
         registry.records().values().stream()
-                .filter(record -> record.over() && !record.handedOver())
+                .filter(record -> record.hasSealedJournal() && !record.hasAllSharesAdopted())
                 .toList()
                 .forEach(record -> IntStream.range(0, record.shares().size())
                         .filter(slot -> !record.shares().get(slot).adopted())
-                        .forEach(slot -> workOn(record, slot)));
+                        .forEach(slot -> processShare(record, slot)));
     }
 
-    private void workOn(NodeRecord record, int slot) {
+    private void processShare(NodeRecord record, int slot) {
         JournalShare share = record.shares().get(slot);
         ShareId id = new ShareId(record.incarnation(), slot);
-        boolean mine = share.holder().equals(self);
-        boolean holderGone = registry.find(share.holder()).map(NodeRecord::over).orElse(false);
-        if (mine && directory.holds(id)) {
-            once(id, () -> confirm(id, share));
-        } else if (mine) {
-            once(id, () -> adopt(record, id, share));
-        } else if (holderGone && surroundings.leads().test(record.incarnation())) {
-            once(id, () -> giveOn(id, share));
+        boolean isHolder = share.holder().equals(self);
+        boolean holderSealed =
+                registry.find(share.holder()).map(NodeRecord::hasSealedJournal).orElse(false);
+        if (isHolder && directory.hasAdopted(id)) {
+            runUnlessInProgress(id, () -> confirmAdoption(id, share));
+        } else if (isHolder) {
+            runUnlessInProgress(id, () -> adopt(record, id, share));
+        } else if (holderSealed && cluster.isResponsibleFor().test(record.incarnation())) {
+            runUnlessInProgress(id, () -> reassign(id, share));
         }
     }
 
-    /** Runs work on a share unless some is under way; after a failure again in a moment. */
-    private void once(ShareId id, Supplier<CompletableFuture<Void>> work) {
-        if (!busy.add(id)) {
+    /** Runs a task unless one is in progress for the same share, then schedules the next pass over all shares. */
+    private void runUnlessInProgress(ShareId id, Supplier<CompletableFuture<Void>> task) {
+        if (!inProgress.add(id)) {
             return;
         }
-        work.get()
+        task.get()
                 .whenCompleteAsync(
                         (done, failure) -> {
-                            busy.remove(id);
+                            inProgress.remove(id);
                             if (failure != null && !stopped) {
                                 LOG.log(
                                         Logger.Level.WARNING,
@@ -171,19 +174,19 @@
                                                 .failure(failure)
                                                 .toString());
                             }
-                            loop.schedule(RETRY, this::work);
+                            loop.schedule(RETRY_DELAY, this::processShares);
                         },
                         loop);
     }
 
     /**
-     * Takes a share in: reads the sealed journal, which nobody changes any more, writes the states of the share's
-     * programs into this node's journal and a mark behind them, and lets the programs go on once the mark is durable.
-     * Without the mark nothing of the share counts and nothing of it has run, so that a holder that dies half-way leaves
-     * the share as it was.
+     * Adopts a share: reads the sealed, hence immutable, journal, writes the states of the share's programs followed by
+     * an adoption marker into this node's journal, and resumes the programs once the marker is durable. States without
+     * a marker are ignored and their programs have not run, so a holder that fails in between leaves the share
+     * unchanged.
      */
     private CompletableFuture<Void> adopt(NodeRecord record, ShareId id, JournalShare share) {
-        long begun = loop.clock().nanos();
+        long startNanos = loop.clock().nanos();
         return reader.read(id.journal())
                 .thenComposeAsync(
                         segments -> {
@@ -194,7 +197,7 @@
                                     .toList();
                             return stopped
                                     ? CompletableFuture.<List<ProgramState>>completedFuture(List.of())
-                                    : host.takeIn(id.toString(), states).thenApply(done -> states);
+                                    : host.persistShare(id.toString(), states).thenApply(done -> states);
                         },
                         loop)
                 .thenComposeAsync(
@@ -202,7 +205,7 @@
                             if (stopped) {
                                 return CompletableFuture.<Void>completedFuture(null);
                             }
-                            directory.adopted(id);
+                            directory.markAdopted(id);
                             host.resume(states);
                             LOG.log(
                                     Logger.Level.INFO,
@@ -210,43 +213,46 @@
                                             .with("node", self)
                                             .with("share", id)
                                             .with("programs", states.size())
-                                            .with("ms", (loop.clock().nanos() - begun) / 1_000_000)
+                                            .with("ms", (loop.clock().nanos() - startNanos) / 1_000_000)
                                             .toString());
-                            return confirm(id, share);
+                            return confirmAdoption(id, share);
                         },
                         loop);
     }
 
-    private CompletableFuture<Void> confirm(ShareId id, JournalShare share) {
+    private CompletableFuture<Void> confirmAdoption(ShareId id, JournalShare share) {
         return registry.change(id.journal(), record -> record.withShare(id.slot(), share, new JournalShare(self, true)))
                 .thenAcceptAsync(
                         record -> {
-                            host.forgetMark(id.toString());
+                            host.removeMarker(id.toString());
                             deleteIfHandedOver(record);
                         },
                         loop);
     }
 
     /**
-     * Decides about a share whose holder is gone. The holder's journal is final: either the mark stands in it, and the
-     * share has been taken in, or nothing of the share ever ran there, and another node takes it.
+     * Settles a share whose holder has failed. The holder's sealed journal is final: if it contains the adoption
+     * marker, the share was adopted there; otherwise none of its programs ran there, and another node becomes the
+     * holder.
      */
-    private CompletableFuture<Void> giveOn(ShareId id, JournalShare share) {
-        List<String> takers = surroundings.takers().get();
-        if (takers.isEmpty()) {
+    private CompletableFuture<Void> reassign(ShareId id, JournalShare share) {
+        List<String> candidates = cluster.acceptingNodes().get();
+        if (candidates.isEmpty()) {
             return CompletableFuture.completedFuture(null);
         }
         return reader.read(share.holder())
                 .thenComposeAsync(
                         segments -> {
                             requireSealed(share.holder(), segments);
-                            boolean taken = JournalReplay.of(segments).adopted().contains(id.toString());
-                            String next = takers.get(Math.floorMod(id.hashCode(), takers.size()));
-                            JournalShare after =
-                                    taken ? new JournalShare(share.holder(), true) : new JournalShare(next, false);
+                            boolean alreadyAdopted =
+                                    JournalReplay.of(segments).adopted().contains(id.toString());
+                            String newHolder = candidates.get(Math.floorMod(id.hashCode(), candidates.size()));
+                            JournalShare after = alreadyAdopted
+                                    ? new JournalShare(share.holder(), true)
+                                    : new JournalShare(newHolder, false);
                             LOG.log(
                                     Logger.Level.INFO,
-                                    LogLine.of("share_given_on")
+                                    LogLine.of("share_reassigned")
                                             .with("share", id)
                                             .with("from", share.holder())
                                             .with("to", after.holder())
@@ -255,26 +261,29 @@
                             return registry.change(id.journal(), record -> record.withShare(id.slot(), share, after));
                         },
                         loop)
-                .thenRunAsync(surroundings.tellChange(), loop);
+                .thenRunAsync(cluster.notifyRegistryChange(), loop);
     }
 
     /**
-     * Deletes what a sealed journal no longer need keep, all but its seal: a VM frozen for hours may wake and create the
-     * very number at which the seal stands, and go on with programs that others finished long ago. The marks in it are
-     * not needed either once no share of another journal waits with it.
+     * Deletes the segments of a sealed journal that are no longer needed, except its seal. The seal stays so that a VM
+     * resumed after a long pause cannot append to the journal and run finished programs again. The adoption markers are
+     * needed only while a share of another journal has this incarnation as its holder and is not adopted.
      */
     private void deleteIfHandedOver(NodeRecord record) {
-        boolean marksNeeded = registry.records().values().stream()
+        boolean markersNeeded = registry.records().values().stream()
                 .flatMap(other -> other.shares().stream())
                 .anyMatch(share -> !share.adopted() && share.holder().equals(record.incarnation()));
-        if (!stopped && record.handedOver() && !marksNeeded) {
+        if (!stopped && record.hasAllSharesAdopted() && !markersNeeded) {
             reader.deleteAllButSeal(record.incarnation()).exceptionally(failure -> null);
         }
     }
 
     private static void requireSealed(String journal, List<Segment> segments) {
         if (segments.isEmpty() || !segments.getLast().hasSeal()) {
-            throw new StepException(Step.TAKEOVER, journal, "the journal is not sealed");
+            throw new StepException(
+                    Step.TAKEOVER,
+                    journal,
+                    "expected a sealed journal, read " + segments.size() + " segments without a seal");
         }
     }
 }
