--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/AllotmentRule.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/AllotmentRule.java
@@ -4,48 +4,48 @@
 import org.parsleydrift.registry.Allotment;
 
 /**
- * How requests are counted against an allotment, and by how much the count may be off. Nodes hear of each other late, so a
- * fleet that aims at the limit itself is above it now and then; it aims inside the tolerance.
+ * Limits that a team's quota sets on the requests in a sliding window. Nodes learn of each other's admissions with a delay,
+ * so a fleet may exceed the nominal limit by a tolerance; the limits computed here use part of it.
  *
- * @param window the span in which requests are counted
- * @param slack requests beyond the limit that are borne
+ * @param window length of the sliding window
+ * @param slack requests above the quota that are tolerated in one window
  */
 public record AllotmentRule(Duration window, double slack) {
-    /** Share of the slack that is given out: without it a small team, at its limit, would be held to less by what is unheard. */
+    /** Share of the tolerance added to the limit; it keeps unreported requests from costing a small team part of its quota. */
     private static final double SLACK_GIVEN_OUT = 0.5;
 
-    /** Share of the slack for what others let pass that is not heard yet. */
+    /** Share of the tolerance reserved for requests that peers have admitted but not reported yet. */
     private static final double SLACK_FOR_UNHEARD = 0.5;
 
-    /** Nothing beyond the rate is given out where one part in so many of the window is unseen. */
+    /** Reciprocal of the unobserved share of the window from which on only the rate is granted. */
     private static final double LOST_PER_UNSEEN = 4;
 
     /**
-     * Requests that a team may run in the later half of the window. So it has little more than the burst beyond its rate at any
-     * time, and a fleet that forgets all it has counted can go on at the rate.
+     * Returns the limit for the recent half of the window, in requests. It bounds bursts, and lets a fleet that has lost all
+     * its counts continue at the nominal rate.
      */
     double late(Allotment allotment) {
         return allotment.most(seconds() / 2) + slack;
     }
 
     /**
-     * Requests that a team may run in the window. Of the part that nobody has seen its rate counts as used up; the burst and
-     * the slack are given out by how little is unseen.
+     * Returns the limit for the whole window, in requests. The rate counts as used up for the unobserved part of the window;
+     * the burst and the tolerance shrink as that part grows.
      *
-     * @param allotment the team's
-     * @param unseen share of the window that lies before the starts of nodes, 0 to 1
+     * @param allotment the team's quota
+     * @param unseen share of the window that precedes the start of nodes, 0 to 1
      */
     double whole(Allotment allotment, double unseen) {
         double above = allotment.burst() + SLACK_GIVEN_OUT * slack;
         return allotment.ratePerSecond() * seconds() * (1 - unseen) + above * known(unseen);
     }
 
-    /** Requests that may run beyond what is given out, for want of hearing of others in time; none where much is unseen. */
+    /** Returns the requests by which unreported admissions may exceed the limit; 0 if much of the window is unobserved. */
     double unheard(double unseen) {
         return SLACK_FOR_UNHEARD * slack * known(unseen);
     }
 
-    /** Whether so little of the window is unseen that requests may pass without being drawn. */
+    /** Returns whether enough of the window is observed to admit requests without random selection. */
     static boolean wellKnown(double unseen) {
         return known(unseen) > 0;
     }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/AllotmentRuling.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/AllotmentRuling.java
@@ -3,25 +3,25 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** Whether a request of a team may run now. */
+/** Result of checking one request against its team's quota. */
 public sealed interface AllotmentRuling {
-    /** For requests of teams that have no limit. */
+    /** Decision for requests of teams without a quota. */
     AllotmentRuling UNLIMITED = new Allowed(Optional.empty());
 
     /**
-     * It may run.
+     * The request is admitted.
      *
-     * @param place what it takes of the allotment; empty where there is no limit
+     * @param place the charge against the quota; empty if the team has none
      */
     record Allowed(Optional<AllottedPlace> place) implements AllotmentRuling {}
 
     /**
-     * The team has used its allotment up.
+     * The quota is exhausted.
      *
-     * @param comeBack when there may be room again
+     * @param comeBack suggested delay before the next attempt
      */
     record Over(Duration comeBack) implements AllotmentRuling {}
 
-    /** This node can't know what the team has used at others. */
+    /** This node has no usage reports from its peers, so it cannot decide. */
     record Unsure() implements AllotmentRuling {}
 }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Allotments.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Allotments.java
@@ -12,26 +12,25 @@
 import org.parsleydrift.registry.Team;
 
 /**
- * Which requests of a team may run, by what all nodes together have let pass. Load pattern: one team sends many times its
- * usual, spread over all nodes, of which each sees a few requests a second. Nobody is asked for a decision: each node adds
- * what it let pass itself to what the others have told, some tenths of a second ago.
+ * Enforces the quotas of teams over all nodes without a central coordinator. Each node adds the requests that it has admitted
+ * to the usage that its peers have last reported.
  *
- * <p>A program is of use only as a whole. So the requests of programs under way pass up to the limit itself, while a new one
- * is let in by what it will need: as many as the window holds, spread so that nodes that hear of each other late don't fill
- * a freed place all at once. Those turned away are told before anything was done for them.
+ * <p>An incomplete program wastes the capacity that it has used. Requests of programs in progress are therefore admitted up to
+ * the limit, while a new program is admitted only if its expected number of requests fits. If demand exceeds the remaining
+ * quota, requests are selected at random, so that nodes with outdated reports do not all claim the same capacity.
  *
- * <p>Confined to one loop.
+ * <p>Not thread-safe; confined to one event loop.
  */
 public final class Allotments {
-    /** Time over which free places are given out where more ask, s: some times as long as use takes to be heard. */
+    /** Time over which the remaining quota is granted under excess demand, s; several times the reporting delay. */
     private static final double SPREAD_SECONDS = 1.2;
-    /** Part of the span of asking for which others' asking is not heard yet. */
+    /** Share of the demand window whose demand at peers is not reported yet. */
     private static final double UNHEARD_SHARE = 0.6;
-    /** Share of what leaves the window next that is given out at once. */
+    /** Share of the expiring requests whose quota is granted in advance. */
     private static final double LEAVING_SHARE = 0.4;
-    /** Usual time to come back, before the demand is counted in: a turn or two of others end meanwhile. */
+    /** Retry delay at a demand no higher than the quota. */
     private static final Duration COME_BACK = Duration.ofMillis(300);
-    /** Longest time to come back: callers follow it up to a third of the time that they have left. */
+    /** Upper bound of the retry delay; callers ignore a delay that takes much of their remaining time. */
     private static final Duration COME_BACK_MOST = Duration.ofSeconds(1);
 
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -46,12 +45,12 @@
     private final ProgramNeed need = new ProgramNeed();
 
     /**
-     * Starts with nothing counted.
+     * Creates a tracker without any recorded usage.
      *
-     * @param nanos the loop's clock
-     * @param random chooses among newcomers
-     * @param rule how requests are counted
-     * @param hearsPeers whether this node hears other nodes, or knows that there is none
+     * @param nanos monotonic clock of the loop, ns
+     * @param random source of randomness for the selection of requests
+     * @param rule window and tolerance of the quotas
+     * @param hearsPeers returns true if reports of peers arrive, or if this node is known to be the only one
      */
     public Allotments(LongSupplier nanos, RandomGenerator random, AllotmentRule rule, BooleanSupplier hearsPeers) {
         this.nanos = nanos;
@@ -63,27 +62,27 @@
     }
 
     /**
-     * Takes in what others have told.
+     * Replaces the usage reported by peers.
      *
-     * @param reports by node or zone; one of no node for one that is gone
+     * @param reports latest reports by node or zone; a report with 0 nodes for a reporter that is gone
      */
     public void peers(Map<String, UseReport> reports) {
         peers.tell(reports, nanos.getAsLong());
     }
 
     /**
-     * Forgets what some have told, since others tell it from now on.
+     * Discards the reports of reporters whose usage is contained in the reports of others from now on.
      *
-     * @param tellers nodes or zones
+     * @param tellers names of nodes or zones
      */
     public void movedFrom(Set<String> tellers) {
         peers.movedFrom(tellers);
     }
 
     /**
-     * What this node tells others.
+     * Returns the usage at this node, to be sent to its peers. Teams without usage are dropped from the counters.
      *
-     * @return its own use
+     * @return the usage report of this node alone
      */
     public UseReport report() {
         Map<String, TeamUse> uses = own.entrySet().stream()
@@ -95,20 +94,20 @@
     }
 
     /**
-     * Whether nothing more of a team may run now.
+     * Returns whether the quota of a team has no room for one more request.
      *
      * @param team the team
-     * @return true at its limit
+     * @return true if the quota is exhausted; false for a team without a quota
      */
     public boolean full(Team team) {
         return team.allotment().limited() && free(team, use(team).ran()) < 1;
     }
 
     /**
-     * When a request that is turned away should come back: later the more is asked for beside what is left.
+     * Returns the delay after which a rejected request may be retried. It grows with the ratio of demand to quota.
      *
-     * @param team its team
-     * @return the time, not spread yet
+     * @param team the team of the request
+     * @return the delay without jitter
      */
     public Duration comeBack(Team team) {
         double over = Math.max(
@@ -118,12 +117,12 @@
     }
 
     /**
-     * Asks for a place.
+     * Checks a request against the quota of its team and charges the quota if the request is admitted.
      *
-     * @param team whose request it is
-     * @param underWay whether its program has already used runner time
-     * @param ofProgram whether it belongs to a program, which will need more places
-     * @return whether it may run
+     * @param team the team of the request
+     * @param underWay whether the request's program has already used runner time
+     * @param ofProgram whether the request belongs to a program, which needs further requests
+     * @return the decision
      */
     public AllotmentRuling ask(Team team, boolean underWay, boolean ofProgram) {
         boolean begins = !underWay && ofProgram;
@@ -154,14 +153,13 @@
         return new AllotmentRuling.Allowed(Optional.of(new AllottedPlace(counts, now)));
     }
 
-    /** For a request of a program under way. */
     private boolean maySpend(Team team) {
         TeamUse use = use(team);
         return drawn(
                 free(team, use.ran()), use.ran(), use.pressed(), others(team).pressed());
     }
 
-    /** For a program's first request, or one of none. */
+    /** Decides on the first request of a program, or on a request outside any program. */
     private boolean mayBegin(Team team) {
         TeamUse use = use(team);
         double free = free(team, use.planned());
@@ -169,9 +167,9 @@
     }
 
     /**
-     * Where more ask than there are free places, these go to all that ask in the next while alike, at whichever node: each
-     * node sees the same ones, and would fill them all before it hears of the others. What leaves the window is free, too. As
-     * many as others let ask are taken to have asked there since unheard.
+     * Selects requests at random if demand exceeds the remaining quota, each with the same probability at every node; all nodes
+     * see the same remaining quota and would otherwise claim it at the same time. Demand that peers have not reported yet is
+     * estimated from their last reports.
      */
     private boolean drawn(double free, Windowed taken, int asking, int askingOthers) {
         double leavingPerSecond = LEAVING_SHARE
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/AllottedPlace.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/AllottedPlace.java
@@ -1,6 +1,6 @@
 package org.parsleydrift.placement;
 
-/** What one request takes of its team's allotment. */
+/** The charge of one request against its team's quota. */
 public final class AllottedPlace {
     private final TeamCounts counts;
     private long takenNanos;
@@ -11,13 +11,13 @@
         this.takenNanos = takenNanos;
     }
 
-    /** The request goes to one more runner, and the one before may have run it. */
+    /** Charges the quota again for a retry; the first attempt may have run as well. */
     public void again() {
         takenNanos = counts.now();
         counts.ran(takenNanos, 1);
     }
 
-    /** No runner has run it since it was counted last, or will. */
+    /** Reverts the latest charge of a request that no runner has run since or will run. Further calls have no effect. */
     public void giveBack() {
         if (taken) {
             taken = false;
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Candidate.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Candidate.java
@@ -3,16 +3,16 @@
 import org.parsleydrift.registry.Runner;
 
 /**
- * A runner as seen when a request is placed.
+ * A runner with the state that the placement of one request depends on.
  *
  * @param runner the runner
- * @param load requests that this node and, by their last report, its peers have there
- * @param suspended whether it has failed lately and is left alone for a while
- * @param near whether it is in this node's availability zone
- * @param missingTokens tokens of the request's prompt that it would have to read; 0 where there is no prompt
+ * @param load requests of this node and, by their last reports, of its peers at the runner
+ * @param suspended whether the runner is in backoff after failures
+ * @param near whether the runner is in this node's availability zone
+ * @param missingTokens tokens of the request's prompt that the runner has not cached; 0 without a prompt
  */
 public record Candidate(Runner runner, int load, boolean suspended, boolean near, int missingTokens) {
-    /** Requests that it may be given in all; a few more than it works on, so that none of its places waits for us. */
+    /** Returns the maximum load, in requests. It exceeds the slots for prompts, so that a freed slot is refilled at once. */
     int most(boolean prompted) {
         return runner.slots() + (prompted ? Math.max(1, runner.slots() / RunnerChoice.QUEUED_SHARE) : 0);
     }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/HeldPart.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/HeldPart.java
@@ -1,10 +1,10 @@
 package org.parsleydrift.placement;
 
 /**
- * A part of a prompt that a runner has read.
+ * A prompt part in the cache of a runner.
  *
- * @param runner the life of the runner
- * @param part the part's id
- * @param tokens tokens of it that the runner holds
+ * @param runner id of the runner's incarnation
+ * @param part id of the prompt part
+ * @param tokens number of its tokens that are cached
  */
 public record HeldPart(String runner, String part, int tokens) {}
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PeerUse.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PeerUse.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * The use of allotments at other nodes, by who told it. When nodes drop out of a report, since they died, were cut off or
- * another hub sums up their zone, what they let pass still counts in the window; forgotten at once, a team at its limit could
- * have its allotment twice. So the fullest report holds on, falling in the second half of a window, until as many nodes are in it again.
+ * Quota usage reported by other nodes or zones. Requests admitted by nodes that drop out of a report still count in the
+ * window; without them a team could use its quota twice. The report that covers the most nodes is therefore retained until
+ * another one covers as many, and decays linearly over the second half of the window.
  */
 final class PeerUse {
     private final long windowNanos;
@@ -27,12 +27,12 @@
         total = told.values().stream().map(each -> believed(each, now)).reduce(UseReport.NONE, UseReport::plus);
     }
 
-    /** Forgets what some told: it is told by others from now on. */
+    /** Discards the reports of reporters whose usage others report from now on. */
     void movedFrom(Set<String> tellers) {
         told.keySet().removeAll(tellers);
     }
 
-    /** The use at all other nodes that was told. */
+    /** Returns the sum over all reporters as of the last update. */
     UseReport total() {
         return total;
     }
@@ -48,7 +48,7 @@
             return each.newest();
         }
         double age = (double) (now - each.fullestNanos()) / windowNanos;
-        // Much of it may be from the last moment; after a whole window none is left.
+        // Keeps the full value for half the window, since the usage may be recent, then decays to 0 at its end.
         double left = Math.min(1, 2 * (1 - age));
         return left <= 0 ? each.newest() : each.newest().most(each.fullest().times(left));
     }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/ProgramNeed.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/ProgramNeed.java
@@ -1,20 +1,20 @@
 package org.parsleydrift.placement;
 
-/** How many requests a program usually needs, by what was let pass lately. */
+/** Moving average of the number of requests per program. */
 final class ProgramNeed {
-    /** Before anything is known: a few turns and the calls between them. */
+    /** Initial estimate, requests per program. */
     private static final double FIRST = 8;
-    /** Programs for which that counts: a node sees the first request of one program and the last of another. */
+    /** Weight of the initial estimate, programs. */
     private static final double FIRST_PROGRAMS = 10;
-    /** Programs after which half of what was learned has been replaced. */
+    /** Number of programs at which both sums are halved, so that older programs lose weight. */
     private static final double HALVED_AFTER = 100;
-    /** A program of more requests than this is no usual one. */
+    /** Upper bound of the estimate, requests per program. */
     private static final int MOST = 64;
 
     private double programs = FIRST_PROGRAMS;
     private double requests = FIRST * FIRST_PROGRAMS;
 
-    /** Notes a request that may run. */
+    /** Records an admitted request. */
     void let(boolean begins) {
         requests++;
         if (begins) {
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PromptMemory.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PromptMemory.java
@@ -7,18 +7,15 @@
 import java.util.Set;
 
 /**
- * Which parts of prompts each runner holds, as far as this node has sent them there. Load pattern: each turn's prompt holds
- * all earlier turns of its line, so a line that moves to another runner is read there from its start; on full engines a
- * third of the time went into such reading. Lines that other nodes have sent are known from the program's grants.
- * Confined to one loop.
+ * Estimates which prompt parts each runner has cached, from the prompts that this node has sent there. A turn's prompt
+ * extends that of the turn before it, so a runner that served the earlier turn computes only the new tokens. Parts sent by
+ * other nodes are known from the program's grants.
+ *
+ * <p>Not thread-safe; confined to one event loop.
  */
 public final class PromptMemory {
-    /**
-     * A part that was not sent for this long is taken as dropped, ns. A line's next turn comes within a second or two, and
-     * a runner with room for some fifty lines has read as many others in about five.
-     */
+    /** Time after its last use at which a part is assumed to be evicted by the runner, ns. */
     private static final long KEPT_NANOS = 6_000_000_000L;
-    /** Parts remembered a runner; some 150 bytes each. */
     private static final int MOST_PARTS = 1024;
 
     private final Map<String, Map<String, Sent>> byRunner = new HashMap<>();
@@ -26,11 +23,11 @@
     private record Sent(int tokens, long atNanos) {}
 
     /**
-     * A prompt goes to a runner, which then holds all of its parts.
+     * Records that a prompt was sent to a runner, which then caches all of its parts.
      *
-     * @param runner the life of the runner
-     * @param prompt the parts
-     * @param nowNanos the time
+     * @param runner id of the runner's incarnation
+     * @param prompt parts of the prompt in order
+     * @param nowNanos monotonic time, ns
      */
     public void sent(String runner, List<PromptPart> prompt, long nowNanos) {
         Map<String, Sent> parts = byRunner.computeIfAbsent(runner, any -> new RecentParts());
@@ -38,22 +35,23 @@
     }
 
     /**
-     * Forgets runners that are gone.
+     * Removes the entries of runners that are gone.
      *
-     * @param lives those that are still known
+     * @param lives ids of the incarnations to retain
      */
     public void keepOnly(Set<String> lives) {
         byRunner.keySet().retainAll(lives);
     }
 
     /**
-     * Tokens of a prompt that a runner would have to read. Who holds a part has read all before it.
+     * Returns the number of tokens of a prompt that a runner has not cached. A runner that has cached a part is assumed to
+     * have cached all parts before it.
      *
-     * @param runner the life of the runner
-     * @param prompt the parts
-     * @param heard parts that runners hold by the word of others
-     * @param nowNanos the time
-     * @return tokens
+     * @param runner id of the runner's incarnation
+     * @param prompt parts of the prompt in order
+     * @param heard cached parts that the store VMs have reported, of any runner
+     * @param nowNanos monotonic time, ns
+     * @return uncached tokens, from 0 to the length of the prompt
      */
     public int missing(String runner, List<PromptPart> prompt, List<HeldPart> heard, long nowNanos) {
         Map<String, Sent> parts = byRunner.getOrDefault(runner, Map.of());
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RetryBudget.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RetryBudget.java
@@ -1,31 +1,26 @@
 package org.parsleydrift.placement;
 
 /**
- * How many second tries one service gets from this node. Load pattern: a service whose runners are all slow or fail
- * together. Each second try then adds to the load that makes the first ones fail; callers see all calls fail instead of
- * some. Second tries are therefore paid for by first ones: a share of them, after a small reserve, so that a few lost
- * answers among many whole ones are all made up for.
+ * Limits the retries that one service gets from this node to a share of its first attempts, plus a small reserve. Isolated
+ * failures are retried, while a service that fails as a whole is not overloaded further by retries.
  */
 public final class RetryBudget {
-    /**
-     * Second tries that each first one pays for. Runners that lose answers lose a few in a hundred; a tenth makes up for
-     * these and adds no more than that to the load of a service that fails as a whole.
-     */
+    /** Retries earned by each first attempt. */
     private static final double SHARE = 0.1;
-    /** Second tries in hand at most: a runner that dies with all its places taken breaks off about so many. */
+    /** Maximum and initial balance, retries; about as many as one failing runner interrupts. */
     private static final double RESERVE = 10;
 
     private double inHand = RESERVE;
 
-    /** A request was offered to its first runner. */
+    /** Credits the budget for a request that is sent to its first runner. */
     public void firstTry() {
         inHand = Math.min(RESERVE, inHand + SHARE);
     }
 
     /**
-     * Takes a second try if one is in hand.
+     * Consumes one retry if the balance allows it.
      *
-     * @return whether the request may be sent again
+     * @return whether the request may be retried
      */
     public boolean take() {
         boolean granted = inHand >= 1;
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerChoice.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerChoice.java
@@ -7,52 +7,36 @@
 import java.util.stream.Stream;
 
 /**
- * Chooses a runner. Load pattern: bursts that fill all model engines. An engine reads prompts one chunk at a time, and all
- * requests in its batch wait meanwhile; what a request costs is therefore the reading of its prompt, for itself and for
- * each one that runs there, and its own share of the reading for those that come after it. The runner with the least of
- * this is chosen, and a request waits for it if it is full: at full engines a prompt read anew costs all of them more than
- * the wait. Where lines give up waiting early and are read anew elsewhere, a burst feeds on itself: with three times the
- * usual rate for 6 s the model engines of {@code bin/bench decisions} had to read 47% of all prompt tokens after waits of
- * 150 ms at most, 30% after 400 ms and 21% after 800 ms. Runners that read nothing are compared by load alone.
+ * Chooses a runner for a request. A model engine delays its whole batch while it computes uncached prompt tokens, so the cost
+ * of a placement is the uncached part of the prompt, for the request itself and for those that run beside it, plus the delay
+ * by the prompts of later requests. The runner with the lowest cost is chosen; if it is full, the request waits for it instead
+ * of recomputing its prompt elsewhere. Runners of services without prompts are compared by load alone.
  *
- * <p>Callers spread over all nodes at random, and each node sees the others' share with a delay. So of the runners that
- * hold nothing of the prompt only a few are compared, drawn by lot, and ties are broken by lot too. Among equals those of
- * the node's own zone go first.
+ * <p>Each node sees the load of its peers with a delay. Only a random sample of the runners that have cached nothing of the
+ * prompt is therefore compared, and ties are broken at random. Among equal runners those in the node's zone are preferred.
  */
 public final class RunnerChoice {
-    /**
-     * One part in so many of a runner's slots may be queued there beyond them. A freed place is seen by other nodes some
-     * 40 to 80 ms late, a sixth of a usual turn; the runner's own queue fills it at once.
-     */
+    /** Slots per request that may queue at a runner; its own queue refills a freed slot without the reporting delay. */
     static final int QUEUED_SHARE = 4;
 
-    /**
-     * Requests more that a plain runner of the node's own availability zone may have. They run side by side in its places, so
-     * nobody waits for one more, while a call to another zone costs two crossings and the bytes of its answer.
-     */
+    /** Additional load, in requests, at which a runner in the node's zone is still preferred to one in another zone. */
     private static final double NEAR_REQUESTS = 2;
-    /** The above holds while less than one part in so many of its places is taken; nearly full, runners slow down. */
+    /** Reciprocal of the share of occupied slots from which on a runner in the node's zone is no longer preferred. */
     private static final int FREE_SHARE = 2;
 
-    /**
-     * Runners that are drawn by lot beside those that hold something of the prompt. Nodes see each other's requests late;
-     * where each compares all runners, all take the same one until they hear of it, and fill it while others stand idle.
-     * Of 57 nodes before 31 engines of six slots in the model of {@code bin/bench decisions --fleet large}, in a burst of
-     * 1.8 times the usual rate, worth was 0.759 with all compared, 0.826 with eight drawn, 0.914 with four and 0.975 with
-     * two; of seven nodes before six engines it is the same either way.
-     */
+    /** Runners sampled at random; if nodes with outdated loads compared all runners, they would choose the same one. */
     static final int DRAWN = 2;
 
     private RunnerChoice() {}
 
     /**
-     * Chooses a runner.
+     * Chooses a runner with the default sample size.
      *
-     * @param candidates runners of the service that may get new requests
-     * @param usualMissing tokens that a usual request of the service has to read; 0 where there are no prompts
-     * @param anywhere whether the request has waited nearly as long as it may, so that any runner with room will do
-     * @param random breaks ties
-     * @return the runner; empty if none has room, or if it is better to wait for one that has none
+     * @param candidates runners of the service that accept new requests
+     * @param usualMissing average number of uncached prompt tokens per request of the service; 0 without prompts
+     * @param anywhere whether any runner below its maximum load is acceptable, since the request's queue wait is nearly over
+     * @param random source of randomness for sampling and ties
+     * @return the runner; empty if all are full, or if the best one is full and worth the wait
      */
     public static Optional<Candidate> choose(
             List<Candidate> candidates, double usualMissing, boolean anywhere, RandomGenerator random) {
@@ -60,18 +44,18 @@
     }
 
     /**
-     * Chooses a runner among those that hold something of the prompt, and a few others that are drawn by lot.
+     * Chooses among the runners that have cached some of the prompt and a random sample of the others.
      *
-     * @param candidates runners of the service that may get new requests
-     * @param usualMissing tokens that a usual request of the service has to read; 0 where there are no prompts
-     * @param anywhere whether the request has waited nearly as long as it may, so that any runner with room will do
-     * @param drawn how many runners that hold nothing are drawn; 0 for all
-     * @param random breaks ties
-     * @return the runner; empty if none has room, or if it is better to wait for one that has none
+     * @param candidates runners of the service that accept new requests
+     * @param usualMissing average number of uncached prompt tokens per request of the service; 0 without prompts
+     * @param anywhere whether any runner below its maximum load is acceptable, since the request's queue wait is nearly over
+     * @param drawn number of sampled runners that have cached nothing of the prompt; 0 to compare all
+     * @param random source of randomness for sampling and ties
+     * @return the runner; empty if all are full, or if the best one is full and worth the wait
      */
     public static Optional<Candidate> choose(
             List<Candidate> candidates, double usualMissing, boolean anywhere, int drawn, RandomGenerator random) {
-        // Near the end of its wait a request takes any place there is; one with a full draw would be refused.
+        // Near the end of its queue wait a request must find any free runner, also one outside the sample.
         boolean all = drawn == 0 || anywhere;
         return chooseAmong(
                 all ? candidates : draw(candidates, drawn, usualMissing > 0, random), usualMissing, anywhere, random);
@@ -85,7 +69,7 @@
                 .filter(each -> each.missingTokens() == most && !each.suspended())
                 .filter(each -> each.load() < each.most(prompted))
                 .toList();
-        // Plain requests stay near while there are places; drawn among all they would rarely meet a near runner.
+        // Without prompts each zone is sampled separately; a sample of all runners would rarely contain a local one.
         Stream<Candidate> others = prompted
                 ? someOf(free, drawn, random)
                 : Stream.concat(
@@ -110,7 +94,7 @@
                 .max()
                 .orElse(1);
         return candidates.stream()
-                // When all have failed, one of them must be tried: leaving a whole service alone serves nobody.
+                // If all runners are suspended, one is tried nevertheless.
                 .filter(each -> !anyHealthy || !each.suspended())
                 .filter(each -> !anywhere || each.load() < each.most(prompted))
                 .map(each -> new Drawn(each, cost(each, largest, usualMissing), random.nextDouble()))
@@ -121,7 +105,7 @@
                 .filter(each -> each.load() < each.most(prompted));
     }
 
-    /** In tokens that somebody waits for to be read; in requests where there are no prompts. */
+    /** Returns the cost in tokens computed while requests wait; in requests for services without prompts. */
     private static double cost(Candidate candidate, int largest, double usualMissing) {
         double beside = (double) candidate.load()
                 * largest
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerHealth.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerHealth.java
@@ -3,15 +3,13 @@
 import java.time.Duration;
 
 /**
- * What answers say of one runner. A runner that can't be reached, or breaks off its answers, is left alone for a time
- * that grows with each failure in a row, and tried again with one request; health checks alone may be wrong.
+ * Passive health state of one runner, derived from the outcome of its requests. A runner that cannot be reached, or whose
+ * responses break off repeatedly, is suspended with exponential backoff.
  */
 public final class RunnerHealth {
-    /** Left alone after a first failure; a restart of a runner takes seconds. */
     private static final Duration FIRST_REST = Duration.ofMillis(200);
-    /** Left alone at most; longer, and a runner that is well again would stand idle. */
     private static final Duration LONGEST_REST = Duration.ofMillis(1600);
-    /** Broken answers in a row that are put down to chance: a few in a hundred break off at runners that are well. */
+    /** Consecutive broken responses without suspension; healthy runners break off single ones. */
     private static final int BROKEN_ANSWERS_BORNE = 2;
 
     private int failures;
@@ -19,7 +17,7 @@
     private long restUntilNanos;
     private boolean resting;
 
-    /** An answer came whole. */
+    /** Resets the state after a complete response. */
     public void answered() {
         failures = 0;
         brokenAnswers = 0;
@@ -27,18 +25,18 @@
     }
 
     /**
-     * No connection could be made.
+     * Suspends the runner after a failure to connect.
      *
-     * @param nowNanos the time
+     * @param nowNanos monotonic time, ns
      */
     public void unreachable(long nowNanos) {
         rest(nowNanos);
     }
 
     /**
-     * An answer broke off or made no sense.
+     * Records a response that broke off or was malformed, and suspends the runner after several in a row.
      *
-     * @param nowNanos the time
+     * @param nowNanos monotonic time, ns
      */
     public void broken(long nowNanos) {
         brokenAnswers++;
@@ -48,10 +46,10 @@
     }
 
     /**
-     * Whether it is left alone now.
+     * Returns whether the runner is in backoff.
      *
-     * @param nowNanos the time
-     * @return whether it is
+     * @param nowNanos monotonic time, ns
+     * @return true until the backoff ends
      */
     public boolean suspended(long nowNanos) {
         return resting && restUntilNanos - nowNanos > 0;
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/SlidingCount.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/SlidingCount.java
@@ -5,12 +5,12 @@
 import java.util.stream.LongStream;
 
 /**
- * A count over the last span of time, kept in slots. A slot leaves as a whole, when all of it is older than the span: the
- * count is never less than the true one, and by a slot's worth more at most.
+ * A counter over a sliding window, divided into slots. A slot expires as a whole once all of it is older than the window, so
+ * the sum is never too low, and too high by at most the count of one slot.
  */
 final class SlidingCount {
     private static final int SLOTS = 50;
-    /** Slots of this age and above leave next. */
+    /** Age, in slots, from which on a slot counts as expiring. */
     private static final int OLD_SLOTS = SLOTS - (int) (SLOTS * Windowed.LEAVING_PART);
 
     private final long slotNanos;
@@ -22,7 +22,7 @@
         slotNanos = Math.max(1, span.toNanos() / SLOTS);
     }
 
-    /** Adds to the count of a moment, or takes off; one that has left already is passed over. */
+    /** Adds a count, which may be negative, at a point in time; ignored if that slot has expired. */
     void add(long atNanos, int count) {
         long slot = Math.floorDiv(atNanos, slotNanos);
         if (slot > newest) {
@@ -39,7 +39,6 @@
         return sum;
     }
 
-    /** The sum, and those of its parts. */
     Windowed windowed(long nowNanos) {
         int whole = sum(nowNanos);
         return whole == 0
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/TeamCounts.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/TeamCounts.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 import java.util.function.LongSupplier;
 
-/** What one node has let pass of one team. */
+/** Counters of one team's requests at this node. */
 final class TeamCounts {
-    /** Span over which the rate of asking is taken: short beside a burst, and some requests of a small team. */
+    /** Window over which demand is measured. */
     static final Duration ASKED_SPAN = Duration.ofMillis(500);
 
     private final LongSupplier nanos;
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/TeamUse.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/TeamUse.java
@@ -1,21 +1,21 @@
 package org.parsleydrift.placement;
 
 /**
- * What was let pass of a team, at one node or at several.
+ * Quota usage and demand of a team at one node or at several.
  *
- * @param ran requests that went to runners
- * @param planned requests that the programs need that were let begin, by what such programs usually need
- * @param asked requests that the programs need that asked to begin within the last while, whether they might or not
- * @param pressed requests of programs under way that asked to run within the last while, whether they might or not
+ * @param ran requests sent to runners
+ * @param planned expected requests of the programs that were admitted
+ * @param asked recent demand of new programs, as their expected requests, admitted or not
+ * @param pressed recent demand of programs in progress, in requests, admitted or not
  */
 public record TeamUse(Windowed ran, Windowed planned, int asked, int pressed) {
-    /** Nothing. */
+    /** No usage and no demand. */
     public static final TeamUse NONE = new TeamUse(Windowed.NONE, Windowed.NONE, 0, 0);
 
     /**
-     * Both together.
+     * Adds two usages.
      *
-     * @param other other nodes' use
+     * @param other the usage at other nodes
      * @return the sum
      */
     public TeamUse plus(TeamUse other) {
@@ -24,10 +24,10 @@
     }
 
     /**
-     * What is left without a part.
+     * Subtracts a part of this usage.
      *
-     * @param part the part
-     * @return the difference, nowhere less than nothing
+     * @param part the usage to subtract
+     * @return the difference; negative values become 0
      */
     public TeamUse minus(TeamUse part) {
         return new TeamUse(
@@ -37,7 +37,7 @@
                 Math.max(0, pressed - part.pressed));
     }
 
-    /** The larger of each. */
+    /** Returns the component-wise maximum. */
     TeamUse most(TeamUse other) {
         return new TeamUse(
                 ran.most(other.ran),
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/UseReport.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/UseReport.java
@@ -5,15 +5,15 @@
 import java.util.function.BinaryOperator;
 
 /**
- * What nodes tell each other of the use of allotments: of one node, or the sum of several.
+ * Quota usage that nodes exchange: that of one node, or the sum of several.
  *
- * @param nodes the nodes whose use it holds
- * @param unseenMillis the part of the window that lies before a node's start, summed over the nodes, ms: of that nobody
- *     knows any more what its former life let pass
- * @param teams use by the name of the team; teams without any are left out
+ * @param nodes number of nodes included
+ * @param unseenMillis part of the window before a node's start, summed over the nodes, ms; requests that a node admitted
+ *     before its restart are unknown
+ * @param teams usage by team name; teams without usage are omitted
  */
 public record UseReport(int nodes, int unseenMillis, Map<String, TeamUse> teams) {
-    /** Of no node. */
+    /** The report of no node. */
     public static final UseReport NONE = new UseReport(0, 0, Map.of());
 
     /** Copies the map. */
@@ -22,9 +22,9 @@
     }
 
     /**
-     * Both together.
+     * Adds two reports.
      *
-     * @param other other nodes' report
+     * @param other the report of other nodes
      * @return the sum
      */
     public UseReport plus(UseReport other) {
@@ -32,10 +32,10 @@
     }
 
     /**
-     * The report without a part of its nodes.
+     * Subtracts the report of some of the nodes included.
      *
-     * @param part what one of the nodes told
-     * @return the rest
+     * @param part the report to subtract
+     * @return the difference; negative values become 0
      */
     public UseReport minus(UseReport part) {
         Map<String, TeamUse> rest = new HashMap<>(teams);
@@ -44,12 +44,11 @@
         return new UseReport(Math.max(0, nodes - part.nodes), Math.max(0, unseenMillis - part.unseenMillis), rest);
     }
 
-    /** The larger of each team's use in this report and in another one. */
+    /** Returns this report with the component-wise maximum of the usage in both reports. */
     UseReport most(UseReport other) {
         return new UseReport(nodes, unseenMillis, joined(other, TeamUse::most));
     }
 
-    /** A share of each team's use. */
     UseReport times(double share) {
         Map<String, TeamUse> scaled = new HashMap<>();
         teams.forEach((team, use) -> scaled.put(team, use.times(share)));
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Windowed.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Windowed.java
@@ -1,16 +1,16 @@
 package org.parsleydrift.placement;
 
 /**
- * A count over the allotment's window and over parts of it.
+ * Request counts over the sliding window of the quotas and over parts of it.
  *
- * @param whole in the window
- * @param late in the later half of it
- * @param leaving in the oldest fifth of it, which leaves next
+ * @param whole requests in the whole window
+ * @param late requests in its recent half
+ * @param leaving requests in its oldest fifth, which expire next
  */
 public record Windowed(int whole, int late, int leaving) {
-    /** The part of the window that leaves next. */
+    /** Share of the window that counts as expiring. */
     static final double LEAVING_PART = 0.2;
-    /** Nothing. */
+    /** All counts 0. */
     public static final Windowed NONE = new Windowed(0, 0, 0);
 
     Windowed plus(Windowed other) {
@@ -30,7 +30,7 @@
         return new Windowed(scaled(whole, share), scaled(late, share), scaled(leaving, share));
     }
 
-    /** Rounded up: most nodes have let one request of a small team pass or none. */
+    /** Scales a count, rounding up, since the counts of a small team at one node are 0 or 1. */
     static int scaled(int count, double share) {
         return (int) Math.ceil(count * share);
     }
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/AllotmentFleet.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/AllotmentFleet.java
@@ -15,18 +15,17 @@
 import org.parsleydrift.registry.Team;
 
 /**
- * Entry nodes that share one team's allotment on virtual time. Each tells the others what it let pass, some tenths of a
- * second late; programs ask at nodes drawn by lot, go on after their first request, and come back after a refusal.
+ * Simulation of entry nodes that share one team's quota, on virtual time. Nodes exchange usage reports with a delay; programs
+ * send their requests to random nodes and retry after a rejection.
  */
 final class AllotmentFleet {
     static final Duration WINDOW = Duration.ofSeconds(5);
     static final AllotmentRule RULE = new AllotmentRule(WINDOW, 20);
     private static final long MILLI = 1_000_000;
-    /** Use at other nodes is this old at most: a hub's period, another hub's, and the way. */
     private static final int TELL_EVERY_MILLIS = 160;
 
     private static final int HEARD_AFTER_MILLIS = 240;
-    /** A silent node's report is dropped after this long. */
+    /** Time without reports after which a peer's usage is dropped. */
     private static final int SILENT_MILLIS = 1600;
 
     private static final int PROGRAM_REQUESTS = 10;
@@ -54,7 +53,7 @@
 
     private record Told(long heardMillis, int from, UseReport report) {}
 
-    /** One node; its peers' reports are in by name. */
+    /** One node of the fleet. */
     private final class Node {
         private Allotments allotments;
         private long upMillis;
@@ -80,13 +79,13 @@
         team = new Team("t", OptionalInt.empty(), new Allotment(rate, rate));
         random = new Random(seed);
         nodes = new Node[nodeCount];
-        // Long up before the traffic starts.
+        // Runs for longer than the window, so that no part of it is unobserved when the traffic starts.
         nowMillis = 0;
         IntStream.range(0, nodeCount).forEach(each -> nodes[each] = new Node(0));
         play(10_000, 0);
     }
 
-    /** Lets time go on while the team asks for so many requests a second, programs counted at their whole need. */
+    /** Advances the time under a demand in requests per second, counting all requests of each program. */
     void play(int millis, double demand) {
         long end = nowMillis + millis;
         while (nowMillis < end) {
@@ -104,18 +103,18 @@
         }
     }
 
-    /** Ends a share of the nodes, which come back with nothing known. */
+    /** Restarts a share of the nodes, which lose their counts. */
     void kill(double share, int downMillis) {
         IntStream.range(0, (int) Math.round(share * nodes.length))
                 .forEach(each -> nodes[each].boot(nowMillis + downMillis));
     }
 
-    /** Cuts a share of the nodes off from all others, or heals the cut; callers still reach them. */
+    /** Partitions a share of the nodes from their peers, or ends the partition; callers still reach them. */
     void cut(double share, boolean cut) {
         IntStream.range(0, (int) Math.round(share * nodes.length)).forEach(each -> nodes[each].cut = cut);
     }
 
-    /** What may run in any window before the rule is broken. */
+    /** Returns the maximum number of requests in any window that the quota tolerates. */
     double bound() {
         return team.allotment().most(WINDOW.toMillis() / 1000.0) * 1.1 + 20;
     }
@@ -146,7 +145,7 @@
         }
     }
 
-    /** Whether all that runs in the window, and what the programs begun in it need, has room for one more. */
+    /** Returns whether the requests in the window and those of the programs started in it leave room for one more. */
     private boolean belowLimit(Ask ask) {
         dropOld(ran);
         dropOld(begun);
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/AllotmentsTest.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/AllotmentsTest.java
@@ -14,13 +14,13 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What a fleet of nodes lets pass of one team, counted over every window. */
+/** Enforcement of a team's quota by a simulated fleet of nodes, checked over every window. */
 public class AllotmentsTest {
     private static final int SEEDS = 10;
-    /** Usual demand beside the rate: teams are given well over half as much again as they usually send. */
+    /** Normal demand as a share of the quota's rate. */
     private static final double USUAL = 0.6;
 
-    /** Nodes, and the team's rate a second: small and large teams in small and large fleets. */
+    /** Number of nodes and rate of the quota, requests per second. */
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {{9, 8.0}, {9, 120.0}, {71, 8.0}, {71, 120.0}};
@@ -32,7 +32,7 @@
                 what + ": " + fleet.mostInWindow + " requests in a window of " + fleet.bound());
     }
 
-    /** A team that sends what it usually does is never turned away. */
+    /** Demand below the quota must never be rejected. */
     @Test(dataProvider = "fleets")
     public void belowItsLimitNothingIsRefused(int nodes, double rate) {
         IntStream.range(0, SEEDS).forEach(seed -> {
@@ -42,10 +42,7 @@
         });
     }
 
-    /**
-     * One team sends eight times its usual through all nodes, each of which sees a small part of it. Counted by each node
-     * alone, or let pass by whoever asked first, the team had a multiple of its allotment and ended few of its programs.
-     */
+    /** A team in overload, of which each node sees a small part, must stay within its quota and still complete programs. */
     @Test(dataProvider = "fleets")
     public void aTeamThatSendsManyTimesItsUsualKeepsToItsLimit(int nodes, double rate) {
         IntStream.range(0, SEEDS).forEach(seed -> {
@@ -59,7 +56,7 @@
         });
     }
 
-    /** The allotment goes to whole programs: nearly all that were begun end, and little of the allotment is left unused. */
+    /** Nearly all programs that were started must complete under overload. */
     @Test
     public void programsThatWereBegunEnd() {
         int begun = 0;
@@ -76,10 +73,7 @@
         assertTrue(whole >= 0.85 * begun, whole + " of " + begun);
     }
 
-    /**
-     * A fleet starts again at once while a team is over its limit. What the former lives let pass is known to nobody, and
-     * a node that began with an empty count would give the team its allotment twice in one window.
-     */
+    /** Nodes that restart under overload have lost their counts and must not grant the quota a second time. */
     @Test(dataProvider = "fleets")
     public void nodesThatStartAgainDoNotGiveTheAllotmentTwice(int nodes, double rate) {
         IntStream.range(0, SEEDS).forEach(seed -> {
@@ -91,7 +85,7 @@
         });
     }
 
-    /** Nodes that are cut off from all others let nothing more pass; what they let pass before still counts at the others. */
+    /** Partitioned nodes must not admit requests; those that they admitted before still count at the others. */
     @Test(dataProvider = "fleets")
     public void nodesThatAreCutOffDoNotAddToTheAllotment(int nodes, double rate) {
         IntStream.range(0, SEEDS).forEach(seed -> {
@@ -105,7 +99,7 @@
         });
     }
 
-    /** A request that surely never ran gives its place back, and one that went to a second runner counts twice. */
+    /** A request that certainly did not run is refunded, and a retry of one that may have run counts twice. */
     @Test
     public void onlyWhatMayHaveRunCounts() {
         AtomicLong now = new AtomicLong(Duration.ofSeconds(60).toNanos());
@@ -127,7 +121,7 @@
         return allotments.report().teams().get("t").ran().whole();
     }
 
-    /** A limit that was lowered far below what a team sends holds as soon as the window has passed. */
+    /** A lowered quota applies at once, and admits requests again after one window. */
     @Test
     public void aLoweredLimitHoldsAtOnce() {
         AtomicLong now = new AtomicLong(Duration.ofSeconds(60).toNanos());
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/PromptMemoryTest.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/PromptMemoryTest.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/** What a runner would have to read of a prompt. */
+/** Estimates of the prompt tokens that a runner has not cached. */
 public class PromptMemoryTest {
     private static final long SECOND = 1_000_000_000L;
 
@@ -22,7 +22,7 @@
         assertEquals(memory.missing("r2", next, List.of(), SECOND), 1200);
     }
 
-    /** The turn before went through another node; the store VMs say where it ran and how far its line came there. */
+    /** The previous turn went through another node, and the store VMs report what its runner has cached. */
     @Test
     public void whatOthersSentIsKnownFromTheGrants() {
         List<HeldPart> heard = List.of(new HeldPart("r1", "line", 640), new HeldPart("r2", "line", 200));
@@ -32,7 +32,7 @@
         assertEquals(memory.missing("r3", next, heard, 0), 1200);
     }
 
-    /** A sub-agent's prompt begins with its parent's: it need only read its own part where the parent ran. */
+    /** A sub-agent's prompt begins with its parent's, which the parent's runner has cached. */
     @Test
     public void aSubAgentFindsItsParentsPrompt() {
         List<PromptPart> child =
@@ -41,7 +41,7 @@
         assertEquals(memory.missing("r1", child, List.of(new HeldPart("r1", "line", 700)), 0), 300);
     }
 
-    /** What was sent long ago has probably given way to other prompts; a restarted runner holds nothing. */
+    /** Parts sent long ago count as evicted, and a restarted runner has an empty cache. */
     @Test
     public void oldPartsAndFormerLivesCountNothing() {
         PromptMemory memory = new PromptMemory();
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/RetryBudgetTest.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/RetryBudgetTest.java
@@ -6,7 +6,7 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
-/** Second tries under few and under many failures. */
+/** Retries granted under few and under many failures. */
 public class RetryBudgetTest {
     private static int granted(int requests, int failsOneIn) {
         RetryBudget budget = new RetryBudget();
@@ -17,16 +17,13 @@
                 .count();
     }
 
-    /** Four answers in a hundred are lost: all of these requests are sent again. */
+    /** At a failure rate of 4% all failed requests are retried. */
     @Test
     public void fewLostAnswersAreAllMadeUpFor() {
         assertEquals(granted(1000, 25), 40);
     }
 
-    /**
-     * Symptom: a service that is slow as a whole never recovers. Events: all first tries run into their limit and are
-     * sent again. Cause: second tries double the load.
-     */
+    /** Retries must not double the load of a service that fails as a whole. */
     @Test
     public void aServiceThatFailsAsAWholeGetsATenthMoreAtMost() {
         int seconds = granted(1000, 1);
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/RunnerChoiceTest.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/RunnerChoiceTest.java
@@ -42,41 +42,34 @@
         assertEquals(choose(candidate("a", 2, false), candidate("b", 1, false), candidate("c", 3, false)), "b");
     }
 
-    /**
-     * Symptom: engines that are full spend a third of their time reading prompts that another one holds. Events: a burst
-     * fills all engines; each turn goes to the one with a request less than its own. Cause: a difference of one request
-     * went before any amount of reading.
-     */
+    /** A small difference in load must not outweigh a cached prompt. */
     @Test
     public void atBusyEnginesALineStaysWhereItIsHeld() {
         assertEquals(choose(700, engine("held", 14, 200), engine("other", 11, 2500)), "held");
         assertEquals(choose(700, engine("held", 17, 200), engine("other", 15, 2500)), "held");
     }
 
-    /** Reading beside nobody costs nobody but the request itself. */
+    /** Computing a prompt on an idle engine delays no other request. */
     @Test
     public void anIdleEngineReadsAnewRatherThanJoiningAFullOne() {
         assertEquals(choose(700, engine("held", 14, 200), engine("idle", 0, 2500)), "idle");
     }
 
-    /** A place that will be free within some tens of ms is worth the wait; a place elsewhere would be read into anew. */
+    /** Waiting for the engine that has cached the prompt is cheaper than computing it on a nearly full one. */
     @Test
     public void aLineWaitsForItsFullEngineWhileOthersAreNearlyFull() {
         assertEquals(choose(700, engine("held", 20, 200), engine("other", 15, 2500)), "none");
         assertEquals(choose(700, engine("held", 20, 200), engine("other", 3, 2500)), "other");
     }
 
-    /**
-     * Symptom: a line is refused for want of room while engines have places. Events: its engine gets stuck with all places
-     * taken. Cause: the line waits for it alone.
-     */
+    /** A request must not wait until its rejection for a stuck engine while others have free slots. */
     @Test
     public void aFullEngineIsNotWaitedForWithoutEnd() {
         assertEquals(choose(700, true, engine("held", 20, 200), engine("other", 15, 2500)), "other");
         assertEquals(choose(700, true, engine("held", 20, 200), engine("other", 20, 2500)), "none");
     }
 
-    /** A near runner with places is taken before a far one with fewer requests; a fuller one is not. */
+    /** A runner in the node's zone is preferred to a less loaded remote one, unless more than half of its slots are taken. */
     @Test
     public void plainCallsStayInTheirZoneWhileItsRunnersHavePlaces() {
         assertEquals(choose(candidate("a", 1, false), candidate("near", 1, false), candidate("c", 1, false)), "near");
@@ -85,7 +78,7 @@
         assertEquals(choose(candidate("a", 2, false), candidate("near", 2, false)), "near");
     }
 
-    /** Among engines that would read the same beside as many requests, the near one is taken. */
+    /** Among engines of equal cost the one in the node's zone is chosen. */
     @Test
     public void amongEqualEnginesTheNearOneGoesFirst() {
         Candidate near = new Candidate(runner("near", 16), 3, false, true, 500);
@@ -98,7 +91,7 @@
         assertEquals(choose(candidate("a", 4, false)), "none");
     }
 
-    /** Symptom: a whole service gets no request after a shared fault. Cause: all its runners are left alone at once. */
+    /** A service whose runners are all suspended must still receive requests. */
     @Test
     public void whenAllHaveFailedOneIsTried() {
         assertEquals(choose(candidate("a", 0, true), candidate("b", 3, false)), "b");
