--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerAnswer.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerAnswer.java
@@ -2,20 +2,20 @@
 
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** The way back to a caller for one request. Exactly one of whole answer, ended stream and abort ends it. */
+/** Response channel to the caller of one request. Exactly one of a full response, the end of a stream and an abort ends it. */
 interface CallerAnswer {
-    /** Sends a whole answer. */
+    /** Sends a full response. */
     void whole(int status, HttpHeaders headers, byte[] body);
 
-    /** Begins a stream of events. */
+    /** Sends the head of an event stream. */
     void beginStream(int status, HttpHeaders headers);
 
-    /** Sends events. */
+    /** Sends complete events. */
     void events(byte[] bytes);
 
-    /** Ends a stream as complete. */
+    /** Ends a stream with the terminating chunk, which marks it as complete. */
     void endStream();
 
-    /** Closes the connection, so that the caller can tell that the answer is not complete. */
+    /** Closes the connection without the terminating chunk, so that the caller recognizes the response as incomplete. */
     void abort();
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerConnection.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerConnection.java
@@ -32,12 +32,12 @@
 import org.parsleydrift.kernel.RuntimeClock;
 import org.parsleydrift.registry.CallerLimits;
 
-/** One connection of a caller: requests one after the other, each answered before the next is looked at. */
+/** One HTTP/1.1 connection of a caller. Pipelined requests are processed one at a time, in order. */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = System.getLogger(CallerConnection.class.getName());
-    /** Parts of further requests that may wait while one is answered; past this the connection is not read. */
+    /** Buffered message parts of pipelined requests above which reading from the connection pauses. */
     private static final int MAX_WAITING_PARTS = 64;
-    /** A caller that reads slower than its runner writes is cut here, bytes; more would fill the VM's memory. */
+    /** Unsent response bytes above which a slow caller is disconnected. */
     private static final long MAX_UNSENT_BYTES = 1 << 20;
 
     private final RequestHandler handler;
@@ -91,14 +91,14 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        // A reset by the caller; whatever runs for it is cancelled as the connection becomes inactive.
+        // Usually a reset by the caller; channelInactive() cancels the request in progress.
         LOG.log(
                 Logger.Level.DEBUG,
                 () -> LogLine.of("caller_connection_failed").failure(cause).toString());
         context.close();
     }
 
-    /** Closes the connection if nothing has come for too long. */
+    /** Closes the connection if it has been idle, or a request incomplete, for longer than the limits allow. */
     void checkIdle(CallerLimits limits) {
         boolean busy = current != null && !current.ended;
         if (busy || closing) {
@@ -111,7 +111,7 @@
         }
     }
 
-    /** Closes the connection if it is between requests. */
+    /** Closes the connection unless a request is being received or processed. */
     void closeIfIdle() {
         boolean busy = (current != null && !current.ended) || head != null || !waiting.isEmpty();
         if (!busy) {
@@ -202,7 +202,7 @@
         answer.onGone = handler.handle(whole, answer);
     }
 
-    /** Refuses what can't be read. The rest of the connection can't be told apart any more, so it closes. */
+    /** Rejects a malformed request and closes the connection, since the start of the next request is unknown. */
     private void refuse(int status, String reason) {
         LOG.log(
                 Logger.Level.INFO,
@@ -218,7 +218,7 @@
         channel.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
 
-    /** The answer to one request. */
+    /** Writes the response to one request. */
     private final class Answer implements CallerAnswer {
         private final boolean keep;
         private final boolean headOnly;
@@ -297,7 +297,7 @@
                 closing = true;
                 sent.addListener(ChannelFutureListener.CLOSE);
             } else {
-                // Not from within the handler's own call: a long run of ready requests would nest without end.
+                // Scheduled instead of called: many buffered requests would otherwise recurse too deeply.
                 channel.eventLoop().execute(CallerConnection.this::takeParts);
             }
         }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerServer.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerServer.java
@@ -13,7 +13,7 @@
 import org.parsleydrift.registry.CallerLimits;
 import org.parsleydrift.wire.NetworkThreads;
 
-/** Listens for callers. Confined to the one network thread. */
+/** HTTP server for callers. Not thread-safe; confined to the single network thread. */
 public final class CallerServer implements AutoCloseable {
 
     private static final Duration IDLE_CHECK = Duration.ofMillis(500);
@@ -27,11 +27,11 @@
     /**
      * Starts listening.
      *
-     * @param threads the network threads; one
-     * @param loop the loop on that thread
-     * @param address IP and port
-     * @param relay serves the requests
-     * @param limits limits in force
+     * @param threads the network threads, of which there must be one
+     * @param loop the event loop of that thread
+     * @param address address to listen on; port 0 for a free one
+     * @param relay handler of the requests
+     * @param limits supplies the limits currently in force
      */
     public CallerServer(
             NetworkThreads threads,
@@ -57,29 +57,29 @@
     }
 
     /**
-     * The port it listens on.
+     * Returns the local port of the listening socket.
      *
-     * @return the port
+     * @return the port, also if 0 was requested
      */
     public int port() {
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
-    /** From now on each answer announces that its connection closes. */
+    /** Starts draining: each response from now on carries {@code Connection: close}. */
     public void drain() {
         draining = true;
     }
 
-    /** Takes no new connections and closes those between requests. */
+    /** Stops listening and closes the connections that are between requests. */
     public void closeIdle() {
         listener.close();
         List.copyOf(connections).forEach(CallerConnection::closeIfIdle);
     }
 
     /**
-     * Open connections.
+     * Returns the number of open connections.
      *
-     * @return their number
+     * @return number of connections
      */
     public int connections() {
         return connections.size();
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/ChainText.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/ChainText.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import org.parsleydrift.conversation.Turn;
 
-/** What a runner is given for a turn whose chain the system keeps. */
+/** Builds the request body of a turn whose conversation history is stored by the system. */
 final class ChainText {
     private ChainText() {}
 
-    /** Joins earlier turns, oldest first, each with its input and its output, and then the new input. */
+    /** Concatenates input and output of the earlier turns, oldest first, and the new input. */
     static byte[] assemble(List<Turn> chain, byte[] input) {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         chain.forEach(turn -> {
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/ConnectionOwner.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/ConnectionOwner.java
@@ -2,17 +2,15 @@
 
 import org.parsleydrift.registry.CallerLimits;
 
-/** What a caller's connection needs of the server that accepted it. */
+/** Callbacks from a caller's connection to the server that accepted it. */
 interface ConnectionOwner {
-    /** Limits in force. */
+    /** Returns the limits currently in force. */
     CallerLimits limits();
 
-    /** Whether each answer announces that its connection closes. */
+    /** Returns whether each response must carry {@code Connection: close}. */
     boolean draining();
 
-    /** A connection was opened. */
     void opened(CallerConnection connection);
 
-    /** A connection was closed. */
     void closed(CallerConnection connection);
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Dispatcher.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Dispatcher.java
@@ -20,9 +20,10 @@
 import org.parsleydrift.registry.RunnerKey;
 
 /**
- * Requests that wait, and places taken at runners. Load pattern: bursts of twice the usual rate. Runners start requests
- * in order of arrival and slow down as they fill, so they get no more than {@link RunnerChoice} lets queue there; the
- * rest waits here, where it can be put in order or withdrawn. Confined to one loop.
+ * Queues requests and assigns them to runners. Runners process requests in order of arrival and slow down under load, so they
+ * receive no more than {@link RunnerChoice} permits; further requests wait here, ordered by priority, and can be withdrawn.
+ *
+ * <p>Not thread-safe; confined to one event loop.
  */
 public final class Dispatcher {
     private static final Comparator<Entry> ORDER = Comparator.<Entry, Boolean>comparing(
@@ -30,9 +31,9 @@
             .thenComparingInt(each -> each.waiter().priority())
             .thenComparingLong(Entry::arrival);
 
-    /** What a usual prompt has to be read of before any was placed, tokens: a few hundred of new input. */
+    /** Initial average of uncached prompt tokens per request. */
     private static final double FIRST_USUAL_MISSING = 500;
-    /** Weight of the newest placement in what is usual: the last twenty or so count, some tenths of a second of a burst. */
+    /** Weight of the latest placement in the moving average of uncached prompt tokens. */
     private static final double USUAL_WEIGHT = 0.05;
 
     private final Registry registry;
@@ -51,12 +52,12 @@
     private long arrivals;
 
     /**
-     * Makes a dispatcher.
+     * Creates a dispatcher with an empty queue.
      *
-     * @param registry knows the runners
-     * @param random breaks ties
+     * @param registry source of the runners
+     * @param random source of randomness for the choice of runners
      * @param zone this node's availability zone
-     * @param nanos the loop's clock
+     * @param nanos monotonic clock of the loop, ns
      */
     public Dispatcher(Registry registry, RandomGenerator random, String zone, LongSupplier nanos) {
         this.registry = registry;
@@ -66,18 +67,18 @@
     }
 
     /**
-     * Requests that this node has at each runner.
+     * Returns the number of this node's requests at each runner.
      *
-     * @return numbers by the life of the runner
+     * @return requests by the id of the runner's incarnation; runners without requests are omitted
      */
     public Map<String, Integer> ownLoad() {
         return Map.copyOf(ownLoad);
     }
 
     /**
-     * Requests that all nodes have at all runners.
+     * Returns the number of requests at all runners, including those of peers by their last reports.
      *
-     * @return their number
+     * @return number of requests
      */
     public int fleetLoad() {
         return Stream.concat(ownLoad.values().stream(), peerTotal.values().stream())
@@ -86,9 +87,9 @@
     }
 
     /**
-     * Takes in what other nodes have at each runner.
+     * Replaces the loads reported by peers and assigns queued requests that have become assignable.
      *
-     * @param loads by node or zone: numbers by the {@link RunnerKey} of the runner's life; empty for one that is gone
+     * @param loads requests by {@link RunnerKey} of the runner's incarnation, for each node or zone; empty for one that is gone
      */
     public void peerLoads(Map<String, Map<Long, Integer>> loads) {
         loads.forEach((node, load) -> {
@@ -102,15 +103,15 @@
     }
 
     /**
-     * Requests that wait.
+     * Returns the number of queued requests.
      *
-     * @return their number
+     * @return number of requests
      */
     public int waiting() {
         return waiting.size();
     }
 
-    /** Forgets what is believed of runners that are gone, and places what can be placed at those that came. */
+    /** Drops the state of runners that are gone and assigns queued requests to new ones. */
     void runnersChanged() {
         Set<String> lives = registry.lives();
         prompts.keepOnly(lives);
@@ -119,12 +120,12 @@
         dispatch();
     }
 
-    /** Lets those leave that the manifest in force does not allow any more. */
+    /** Notifies the queued requests of a new manifest, so that those it no longer permits withdraw. */
     void manifestChanged() {
         List.copyOf(waiting).forEach(each -> each.waiter().manifestChanged());
     }
 
-    /** Places what can be placed. */
+    /** Assigns queued requests to runners, in order of precedence. */
     void dispatch() {
         if (waiting.isEmpty()) {
             return;
@@ -149,7 +150,7 @@
         return waiting.removeIf(each -> each.waiter().equals(waiter));
     }
 
-    /** A place is free again. */
+    /** Releases a slot of a runner and assigns queued requests. */
     void finished(String life) {
         ownLoad.computeIfPresent(life, (same, load) -> load <= 1 ? null : load - 1);
         dispatch();
@@ -159,12 +160,11 @@
         return health.computeIfAbsent(life, any -> new RunnerHealth());
     }
 
-    /** What second tries a service gets from this node. */
     RetryBudget retries(String service) {
         return retries.computeIfAbsent(service, any -> new RetryBudget());
     }
 
-    /** Runners of a service that may get new requests. */
+    /** Returns the runners of a service that accept new requests. */
     List<Runner> runners(String service) {
         return registry.runners(service);
     }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/EventStreamReader.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/EventStreamReader.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Splits a stream into whole events, checks that their ids grow one by one, and gathers what counts: the number of
- * events and their data. A runner may stop in the middle of an event; a part of one is never passed on.
+ * Incremental parser of a server-sent event stream. It emits complete events only, checks that numeric event ids are
+ * consecutive, counts the events and optionally collects their data.
  */
 final class EventStreamReader {
     private static final String ID = "id:";
@@ -25,7 +25,7 @@
         this.keepsData = keepsData;
     }
 
-    /** Takes bytes; gives those that complete events. */
+    /** Parses the next bytes of the stream and returns the events that they complete; empty if none. */
     byte[] take(byte[] bytes) {
         whole.reset();
         for (byte each : bytes) {
@@ -43,7 +43,7 @@
         return events;
     }
 
-    /** Whether all bytes belong to whole events in order. */
+    /** Returns whether the stream so far consists of complete events with consecutive ids. */
     boolean sound() {
         return begun.size() == 0 && !outOfOrder;
     }
@@ -52,7 +52,7 @@
         return outOfOrder;
     }
 
-    /** The data of all events, each followed by a line feed. */
+    /** Returns the data lines of all events, each terminated by a line feed; empty unless data is collected. */
     byte[] data() {
         return data.toByteArray();
     }
@@ -91,7 +91,7 @@
             outOfOrder |= lastId != Long.MIN_VALUE && id != lastId + 1;
             lastId = id;
         } catch (NumberFormatException unusual) {
-            // Ids that are no numbers have no order to check; the bytes are passed on as they are.
+            // Non-numeric ids have no order to check.
             lastId = Long.MIN_VALUE;
         }
     }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/ForwardedHeaders.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/ForwardedHeaders.java
@@ -11,7 +11,7 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Collectors;
 
-/** Headers that pass through; those that concern one connection only don't. */
+/** Filters the headers that are forwarded between caller and runner; hop-by-hop headers are removed. */
 final class ForwardedHeaders {
     private static final Set<String> ONE_CONNECTION = Set.of(
             "connection",
@@ -29,17 +29,17 @@
 
     private ForwardedHeaders() {}
 
-    /** What goes on to a runner; headers that only the system may set are taken off. */
+    /** Returns the headers to forward to a runner, without those that callers must not set. */
     static HttpHeaders toRunner(HttpHeaders headers, RelayDialect dialect) {
         return copy(headers, dialect.systemOnly());
     }
 
-    /** What goes back to a caller. */
+    /** Returns the headers to forward to a caller. */
     static HttpHeaders toCaller(HttpHeaders headers) {
         return copy(headers, Set.of());
     }
 
-    /** When to come back after a refusal, spread so that callers refused together don't return together. */
+    /** Returns a {@code Retry-After} header with random jitter, which keeps rejected callers from retrying in step. */
     static HttpHeaders comeBack(Duration after, RandomGenerator random) {
         double seconds = after.toMillis() / 1000.0 * (1 + RelayLimits.COME_BACK_SPREAD * random.nextDouble());
         return DefaultHttpHeadersFactory.headersFactory()
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/IdleConnections.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/IdleConnections.java
@@ -1,10 +1,10 @@
 package org.parsleydrift.relay;
 
-/** Where runners' connections go between requests. */
+/** Pool that a runner's connection returns to after a response. */
 interface IdleConnections {
-    /** A connection may be used again. */
+    /** Returns a reusable connection to the pool. */
     void idle(RunnerConnection connection);
 
-    /** A connection was closed. */
+    /** Removes a closed connection from the pool, if it is there. */
     void closed(RunnerConnection connection);
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/KeepAliveHeader.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/KeepAliveHeader.java
@@ -4,13 +4,13 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** Reads the Keep-Alive header. */
+/** Parser of the {@code Keep-Alive} header. */
 final class KeepAliveHeader {
     private static final String TIMEOUT = "timeout=";
 
     private KeepAliveHeader() {}
 
-    /** The time for which an idle connection is kept, if it is said. */
+    /** Returns the idle timeout that the header announces; empty for a missing header or parameter. */
     static Optional<Duration> seconds(String value) {
         if (value == null) {
             return Optional.empty();
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/QueueWait.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/QueueWait.java
@@ -5,8 +5,8 @@
 import org.parsleydrift.kernel.LoopTimer;
 
 /**
- * The wait of one request for a runner. For most of it the request is kept for the runner that holds its prompt; a runner
- * that is stuck must not keep it until it is refused, so near the end any runner with room will do.
+ * Timers of one request's wait for a runner. A request may wait for the runner that has cached its prompt, but near the end
+ * of the wait any free runner is acceptable, so that one stuck runner does not lead to a rejection.
  */
 final class QueueWait {
     private final EventLoop loop;
@@ -15,13 +15,13 @@
     private LoopTimer endTimer = () -> {};
     private boolean nearlyOver;
 
-    /** Makes a wait that has not begun; near its end it runs a task that places what can be placed. */
+    /** Creates the timers without starting them; the given task retries the placement near the end of the wait. */
     QueueWait(EventLoop loop, Runnable lookAgain) {
         this.loop = loop;
         this.lookAgain = lookAgain;
     }
 
-    /** Begins, or begins anew; a task runs if nothing ends the wait before its patience is over. */
+    /** Starts or restarts the wait; the given task runs on timeout unless the wait ends before. */
     void begin(Duration patience, Runnable tooLong) {
         end();
         nearlyOver = false;
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Relay.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Relay.java
@@ -11,7 +11,7 @@
 import org.parsleydrift.registry.Registry;
 import org.parsleydrift.wire.NetworkThreads;
 
-/** Serves caller-driven requests: one {@link RelayedRequest} each. Confined to one loop. */
+/** Relays requests of callers to runners, each by a {@link RelayedRequest}. Not thread-safe; confined to one event loop. */
 public final class Relay implements RequestHandler {
     private final EventLoop loop;
     private final Registry registry;
@@ -26,17 +26,17 @@
     private int open;
 
     /**
-     * Makes a relay.
+     * Creates a relay and subscribes it to changes of the registry.
      *
-     * @param threads the network threads; one
-     * @param loop the loop on that thread
-     * @param registry knows manifest and runners
-     * @param dispatcher places requests
-     * @param conversations begins and ends turns
-     * @param allotments what teams may still run
-     * @param dialect header names
-     * @param random draws among destinations
-     * @param meters where to count
+     * @param threads the network threads, of which there must be one
+     * @param loop the event loop of that thread
+     * @param registry source of the manifest and the runners
+     * @param dispatcher assigns requests to runners
+     * @param conversations client of the store VMs, which hold turns and token budgets
+     * @param allotments enforces the quotas of teams
+     * @param dialect names of the headers
+     * @param random source of randomness for weighted destinations and jitter
+     * @param meters registry for the relay's metrics
      */
     public Relay(
             NetworkThreads threads,
@@ -70,9 +70,9 @@
     }
 
     /**
-     * Requests that have not ended.
+     * Returns the number of requests that have not ended.
      *
-     * @return their number
+     * @return number of requests
      */
     public int open() {
         return open;
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayMeters.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayMeters.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Counters by outcome and cause, and times of the phases of a request. */
+/** Metrics of the relay: request counters by outcome and cause, and timers of the phases of a request. */
 final class RelayMeters {
     private final MeterRegistry registry;
     private final Map<String, Counter> outcomes = new HashMap<>();
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
@@ -20,9 +20,8 @@
 import org.parsleydrift.registry.Runner;
 
 /**
- * The life of one request: matched, begun at the store VMs where it is a turn, waiting, offered to a runner, answered,
- * committed, ended. It ends in one of three ways that are never confused: <i>not run</i>, said only when no runner can
- * have begun it; the runner's own answer; and <i>unknown</i>, for everything else.
+ * State machine of one request; its states are the values of {@link RequestStage}. A request has one of three outcomes:
+ * <i>not run</i>, reported only if no runner can have started it; the response of a runner; and <i>unknown</i> otherwise.
  */
 final class RelayedRequest implements Waiter {
     private static final Logger LOG = System.getLogger(RelayedRequest.class.getName());
@@ -116,7 +115,7 @@
         }
     }
 
-    /** A key that is gone from a manifest that may be old may have been given back since. */
+    /** Ends a queued request whose key was revoked; a manifest that may be outdated does not prove the revocation. */
     private void keyTakenAway() {
         if (tries.mayHaveRun()) {
             own(502, "unknown", "sent once; its key was taken away");
@@ -128,7 +127,7 @@
         }
     }
 
-    /** Whether it waits for the first manifest. */
+    /** Returns whether the request waits for the node's first manifest. */
     boolean starting() {
         return stage == RequestStage.STARTING;
     }
@@ -145,7 +144,7 @@
         relay.awaitManifest(this);
     }
 
-    /** The caller has left: nothing of the request may go on. */
+    /** Cancels the request after its caller has disconnected; a turn that is being committed is completed. */
     void callerGone() {
         if (stage == RequestStage.ENDED || stage == RequestStage.COMMITTING) {
             return;
@@ -222,14 +221,11 @@
         }
         exchange = new RunnerExchange(this, relay, runner, route.streaming(), route.keepsConversation());
         limitSilence(runner, exchange);
-        // Last: a kept connection may turn out useless at once, and the request may then be offered anew from within.
+        // Must come last: a pooled connection may fail at once, and the request is then queued again from within this call.
         exchange.start();
     }
 
-    /**
-     * Past the operator's target an answer that was lost and one that is late look alike; where the call may repeat,
-     * another runner answers in less time than the caller's whole patience.
-     */
+    /** Schedules a retry of an idempotent call whose response does not arrive within the target latency of its route. */
     private void limitSilence(Runner runner, RunnerExchange offered) {
         silenceTimer.cancel();
         if (!route.streaming() && !route.targetLatency().isZero() && mayRunAgain()) {
@@ -237,7 +233,7 @@
         }
     }
 
-    /** Time left, ms. */
+    /** Returns the time until the deadline of the request, ms; 0 once it has passed. */
     long leftMillis() {
         return Math.max(0, (endNanos - relay.loop().clock().nanos()) / 1_000_000);
     }
@@ -251,7 +247,7 @@
                 request, facts, claim.team(), relay.dialect(), runner, leftMillis(), body, route.mayRunTwice());
     }
 
-    /** The runner said, or it is certain, that the request was not begun there. */
+    /** Handles an attempt that certainly did not start the request at the runner. */
     void notRun(Runner runner, String reason) {
         exchange = null;
         tries.notRunAt(runner.life());
@@ -264,7 +260,7 @@
         if (tries.mayBeOffered(relay.dispatcher().runners(service))) {
             queue();
         } else if (tries.mayHaveRun()) {
-            // This runner's word does not speak for the one before, which may have run the request.
+            // "Not executed" by this runner says nothing about an earlier one, which may have run the request.
             own(502, "unknown", "sent once; " + reason);
         } else {
             refuse(reason, RelayLimits.COME_BACK_FULL);
@@ -281,7 +277,7 @@
         }
     }
 
-    /** No whole answer came, and the runner may have begun the request. Nothing has gone to the caller yet. */
+    /** Handles a missing response of a runner that may have started the request. Nothing was sent to the caller yet. */
     void unknown(Runner runner, String reason) {
         if (mayRunAgain() && relay.dispatcher().retries(service).take()) {
             sendAgain(runner, reason);
@@ -314,20 +310,20 @@
         queue();
     }
 
-    /** A stream broke after its start; the caller must see that it is not complete. */
+    /** Aborts a stream after its start, so that the caller recognizes it as incomplete. */
     void streamBroken(String reason) {
         caller.abort();
         finish("stream_cut", reason);
     }
 
-    /** A whole answer that is not a stream. */
+    /** Forwards a complete response that is not a stream. */
     void answered(Runner runner, int status, HttpHeaders headers, byte[] bytes) {
         caller.whole(status, ForwardedHeaders.toCaller(headers), bytes);
         turn.ifPresent(each -> each.settle(runner.life(), 0));
         finish(ANSWERED, String.valueOf(status));
     }
 
-    /** A stream has come whole; its end is passed on once the turn can't be lost any more. */
+    /** Commits the turn of a complete stream and forwards the end of the stream once the turn is durable. */
     void streamEnded(Runner runner, EventStreamReader events) {
         stage = RequestStage.COMMITTING;
         long begun = relay.loop().clock().nanos();
@@ -430,7 +426,7 @@
         }
     }
 
-    /** Says "not run": only where no runner can have begun the request or will. */
+    /** Rejects the request as not run; only if no runner can have started it or will. */
     private void refuse(String reason, Duration comeBack) {
         refuse(503, reason, comeBack);
     }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestFacts.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestFacts.java
@@ -11,15 +11,15 @@
 import org.parsleydrift.registry.Route;
 
 /**
- * What the headers of a request say.
+ * Parameters of a request, parsed from its headers.
  *
- * @param id the id of this try
- * @param deadlineMillis time that the caller waits, ms
- * @param program the program; empty for none
- * @param budget the program's token budget
- * @param mostTokens the most tokens that the turn generates; 0 if not said
- * @param previousTurn the turn it goes on from; empty for none
- * @param prompt parts of its prompt, in order; empty where it has none
+ * @param id id of this attempt of the caller
+ * @param deadlineMillis time that the caller waits, ms; empty if not specified
+ * @param program id of the program; the empty string for none
+ * @param budget token budget of the program; empty if not specified
+ * @param mostTokens maximum number of tokens that the turn generates; 0 if not specified
+ * @param previousTurn id of the turn that this turn continues; the empty string for none
+ * @param prompt parts of the prompt in order; empty if there is none
  */
 record RequestFacts(
         String id,
@@ -29,27 +29,27 @@
         int mostTokens,
         String previousTurn,
         List<PromptPart> prompt) {
-    /** Tokens of a prompt whose length is not said: a usual one. */
+    /** Assumed length of a prompt without parts, tokens. */
     private static final int USUAL_PROMPT_TOKENS = 1000;
 
     private static final Pattern COMMA = Pattern.compile(",");
-    /** A part with up to eight digits of tokens: more than any engine holds, and no overflow. */
+    /** A part with a token count of at most eight digits, which cannot overflow an int. */
     private static final Pattern PART = Pattern.compile("\\s*[^,:\\s]+:\\d{1,8}\\s*");
 
-    /** Whether it is a turn, which the store VMs are told of: one that is kept, or that has a program's budget. */
+    /** Returns whether the request is a turn recorded by the store VMs: one that is stored, or that has a program's budget. */
     boolean turnOn(Route route) {
         return route.streaming() && (route.keepsConversation() || (budget.isPresent() && !program.isEmpty()));
     }
 
-    /** Tokens of all parts of the prompt. */
+    /** Returns the total length of the prompt, tokens. */
     int promptTokens() {
         return prompt.stream().mapToInt(PromptPart::tokens).sum();
     }
 
     /**
-     * Reads the headers.
+     * Parses the headers.
      *
-     * @return the facts; empty if one of them makes no sense
+     * @return the parameters; empty if the request id is missing or a number is malformed
      */
     static Optional<RequestFacts> read(HttpHeaders headers, RelayDialect dialect) {
         String id = headers.get(dialect.requestId());
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Without parts the whole prompt is one, shared by the turns of its program. Parts only help to choose a runner, so a
-     * header that can't be read counts as none: a refusal would cost the caller an answer that any runner can give.
+     * Parses the prompt parts. They only affect placement, so a malformed header is treated as absent. Without parts, the
+     * prompt of a turn counts as one part that the turns of its program share.
      */
     private static List<PromptPart> prompt(HttpHeaders headers, RelayDialect dialect) {
         String[] parts = COMMA.split(headers.get(dialect.promptParts(), ""), -1);
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestHandler.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestHandler.java
@@ -1,11 +1,11 @@
 package org.parsleydrift.relay;
 
-/** Serves requests of callers. */
+/** Handler of callers' requests. */
 interface RequestHandler {
     /**
-     * Serves a request.
+     * Starts processing a request.
      *
-     * @return what to run if the caller leaves before the answer has ended
+     * @return callback to run if the caller disconnects before the response has ended
      */
     Runnable handle(CallerRequest request, CallerAnswer answer);
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestMatch.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestMatch.java
@@ -7,42 +7,42 @@
 import org.parsleydrift.registry.Team;
 import org.parsleydrift.registry.TeamKeys;
 
-/** Where a request may go, and whose it is, by the manifest in force. Pure. */
+/** Result of matching a request against the routes and API keys of a manifest. */
 sealed interface RequestMatch {
     /**
-     * It may go on.
+     * The request has a route and, where one is required, a valid key.
      *
-     * @param route its route
-     * @param team the team that holds its key; empty where none is asked for
-     * @param owner whose its turns and programs are: no other owner finds them
+     * @param route the matched route
+     * @param team the team that owns the key; empty if the route or the manifest requires none
+     * @param owner prefix that separates the ids of this owner's turns and programs from those of others
      */
     record Found(Route route, Optional<Team> team, String owner) implements RequestMatch {}
 
     /**
-     * It is never to run.
+     * The request is rejected for good.
      *
-     * @param status the status that says so
-     * @param reason why, for logs; without the key
+     * @param status HTTP status of the response
+     * @param reason reason for logs and metrics; never contains the key
      */
     record Denied(int status, String reason) implements RequestMatch {}
 
     /**
-     * Only an older manifest denies it, and the newest may not.
+     * A manifest that may be outdated has no route or key for the request, but the latest one may.
      *
-     * @param reason why, for logs
+     * @param reason reason for logs
      */
     record Unsure(String reason) implements RequestMatch {}
 
     /**
-     * Matches a request. Callers don't try again once they were told that there is no such route or key. A manifest that may
-     * be old can't tell: a route or key that was added in a silence of the platform would be denied to them.
+     * Matches a request. Callers do not retry after a missing route or key, so neither is reported under a manifest that may
+     * be outdated.
      *
      * @param manifest the manifest in force
-     * @param current whether it is known to be the newest
+     * @param current whether the manifest is known to be the latest
      * @param request the request
-     * @param readable whether its headers make sense
-     * @param dialect header names
-     * @return what holds
+     * @param readable whether its headers are well-formed
+     * @param dialect names of the headers
+     * @return the result
      */
     static RequestMatch of(
             RoutingManifest manifest, boolean current, CallerRequest request, boolean readable, RelayDialect dialect) {
@@ -68,12 +68,12 @@
     }
 
     /**
-     * Whose the key of a request is by another manifest, perhaps a newer one.
+     * Looks up the team that owns the key of a request.
      *
-     * @param manifest the manifest
+     * @param manifest the manifest to look in
      * @param request the request
-     * @param dialect header names
-     * @return the team, if any holds the key
+     * @param dialect names of the headers
+     * @return the team; empty if there is no key or no team owns it
      */
     static Optional<Team> holder(RoutingManifest manifest, CallerRequest request, RelayDialect dialect) {
         return manifest.teams().flatMap(teams -> holder(teams, request.headers().getAll(dialect.key())));
@@ -83,7 +83,7 @@
         return keys.stream().findFirst().flatMap(teams::team);
     }
 
-    /** The length keeps one team's name from being taken for the start of another's. */
+    /** Returns the owner prefix; the length of the name keeps the prefixes of different teams from overlapping. */
     private static String owner(String team) {
         return team.length() + ":" + team + ":";
     }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestStage.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestStage.java
@@ -1,19 +1,19 @@
 package org.parsleydrift.relay;
 
-/** Where a request is. */
+/** States of a {@link RelayedRequest}. */
 enum RequestStage {
-    /** Waits for the first manifest. */
+    /** Waiting for the first manifest of the node. */
     STARTING,
-    /** Its route is being looked for. */
+    /** Being matched to a route and checked against its team's quota. */
     MATCHED,
-    /** A turn that is being begun at the store VMs. */
+    /** A turn that is being begun at the store VMs: its tokens are reserved and its history is read. */
     BEGINNING,
-    /** Waits for a runner. */
+    /** Queued for a runner. */
     WAITING,
-    /** A runner has it. */
+    /** Assigned to a runner. */
     OFFERED,
-    /** Its answer is whole and the turn is being made durable. */
+    /** The response is complete and the turn is being committed. */
     COMMITTING,
-    /** The caller has its final answer, or has left. */
+    /** The final response was sent, or the caller has disconnected. */
     ENDED
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerAnswer.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerAnswer.java
@@ -2,22 +2,22 @@
 
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** Receives what a runner answers to one request. One of end and broken comes last, once. */
+/** Receives the response of a runner to one request. Exactly one of {@link #end} and {@link #broken} is called, last. */
 interface RunnerAnswer {
-    /** Status and headers have come. */
+    /** Receives status and headers. */
     void head(int status, HttpHeaders headers);
 
-    /** A part of the body has come. */
+    /** Receives a part of the body. */
     void part(byte[] bytes);
 
-    /** The answer is whole. */
+    /** Receives the end of a complete response. */
     void end();
 
     /**
-     * There will be no whole answer.
+     * Receives the failure of a response that will not be completed.
      *
-     * @param mayHaveRun whether the runner may have begun the request or may yet begin it
-     * @param reason why
+     * @param mayHaveRun whether the runner may have started the request or may still start it
+     * @param reason reason for logs and metrics
      */
     void broken(boolean mayHaveRun, String reason);
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnection.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnection.java
@@ -24,9 +24,9 @@
 import org.parsleydrift.kernel.RuntimeClock;
 
 /**
- * One connection to a runner, one request at a time. An answer is taken only if it bears the request's id: a second
- * answer to an earlier request may come first, and would be taken for another caller's. A connection that gave bytes
- * nobody asked for is never used again.
+ * One HTTP/1.1 connection to a runner, with one request at a time. Responses are matched by request id, since a duplicate
+ * response to an earlier request would otherwise reach the wrong caller. A connection that has received a mismatched or
+ * unsolicited response is not reused.
  */
 final class RunnerConnection extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = System.getLogger(RunnerConnection.class.getName());
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Sends a request; from here on the runner may begin it. */
+    /** Sends a request; from this call on the runner may have started it. */
     void send(RunnerRequest next, RunnerAnswer receiver) {
         request = next;
         answer = receiver;
@@ -94,7 +94,7 @@
         written = channel.writeAndFlush(message);
     }
 
-    /** Gives the request up: a runner drops a request whose connection closes. */
+    /** Abandons the request and closes the connection, on which the runner cancels the request. */
     void cancel() {
         answer = null;
         close();
@@ -177,15 +177,15 @@
         answer.head(status, response.headers());
     }
 
-    /** Without an id an answer is ours only if nothing else was ever asked here. */
+    /** Returns whether a response belongs to the current request; without an id, only the first one on a connection can. */
     private boolean ours(HttpHeaders headers) {
         String id = headers.get(dialect.requestId());
         return id == null ? served == 0 && reusable : id.equals(request.id());
     }
 
     /**
-     * A runner that spoils its answers may send a head that parses but has lost its headers. Passed on, the caller would
-     * take bytes of unknown origin for a success; taken as broken, the request may be sent again where it may repeat.
+     * Returns whether a response carries the request id and the stamp of the runner. A corrupted head may still parse as a
+     * success; it is treated as a failed response, which an idempotent request can retry.
      */
     private boolean proven(HttpHeaders headers) {
         return headers.contains(dialect.requestId()) && headers.contains(dialect.stamp());
@@ -216,7 +216,7 @@
         answer = null;
         served++;
         idleSinceNanos = clock.nanos();
-        // A runner may answer before it has read the whole body; what it has not read would be taken for a request.
+        // If the runner responds before the body is fully sent, the rest of the body would be parsed as the next request.
         boolean allWritten = written != null && written.isSuccess();
         if (reusable && keepAlive && allWritten) {
             pool.idle(this);
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnections.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnections.java
@@ -20,15 +20,14 @@
 import org.parsleydrift.registry.Runner;
 import org.parsleydrift.wire.NetworkThreads;
 
-/** Connections to runners, kept between requests by the id of the runner's life. Confined to one loop. */
+/** Connection pool, keyed by the id of the runner's incarnation. Not thread-safe; confined to one event loop. */
 final class RunnerConnections implements IdleConnections {
-    /** Time to connect; a healthy runner takes a round trip, a dead VM never answers. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(400);
-    /** Idle connections are closed after this; a connection takes one of the few that a runner accepts. */
+    /** Maximum idle time of a pooled connection; runners accept few connections. */
     private static final Duration KEPT = Duration.ofSeconds(2);
-    /** Kept this much shorter than the runner says, so that its close and our next request don't cross. */
+    /** Margin below the idle timeout that the runner announces, against sending on a connection that it is closing. */
     private static final Duration CLOSE_MARGIN = Duration.ofMillis(600);
-    /** Reuse where the runner names no time: it may close at any moment. */
+    /** Maximum idle time if the runner announces no timeout. */
     private static final Duration UNSTATED = Duration.ofMillis(300);
 
     private static final Duration SWEEP = Duration.ofMillis(250);
@@ -45,7 +44,7 @@
         this.bootstrap = threads.connector(CONNECT_TIMEOUT);
     }
 
-    /** Gives a connection on which nothing was sent for the next request; fails with StepException. */
+    /** Returns a pooled or new connection; the future fails with {@link StepException} if the runner cannot be reached. */
     CompletableFuture<RunnerConnection> acquire(Runner runner) {
         RunnerConnection kept = takeIdle(runner.life());
         return kept != null ? CompletableFuture.completedFuture(kept) : connect(runner);
@@ -122,7 +121,7 @@
         return connected;
     }
 
-    /** Runs only while there are idle connections: a node at rest has none to look after. */
+    /** Closes expired connections; rescheduled only while the pool is not empty. */
     private void sweep() {
         List.copyOf(idle.values()).stream()
                 .flatMap(each -> List.copyOf(each).stream())
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerExchange.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerExchange.java
@@ -4,7 +4,7 @@
 import java.io.ByteArrayOutputStream;
 import org.parsleydrift.registry.Runner;
 
-/** One offer of a request to one runner, from the connection to the end of the answer. */
+/** One attempt to run a request at one runner, from acquiring a connection to the end of the response. */
 final class RunnerExchange implements RunnerAnswer {
     private static final int MISDIRECTED = 421;
 
@@ -34,7 +34,7 @@
                 .whenComplete((acquired, failure) -> relay.loop().execute(() -> connected(acquired, failure)));
     }
 
-    /** Gives the request up; a runner that works on it stops as its connection closes. */
+    /** Cancels the attempt; closing the connection makes the runner cancel the request. */
     void cancel() {
         if (connection != null) {
             connection.cancel();
@@ -46,7 +46,7 @@
         return runner.life();
     }
 
-    /** Whole events of its stream that went to the caller. */
+    /** Returns the number of complete events forwarded to the caller. */
     int eventsPassedOn() {
         return streamBegun ? events.events() : 0;
     }
@@ -158,7 +158,7 @@
                 request.streamBroken("runner stopped within an event");
             }
         } else if (promisesNotRun()) {
-            // The runner did not say that it has not run the request, so its status would be a false promise here.
+            // Callers take these statuses as "not run", which the runner has not confirmed.
             request.unknown(runner, "runner's status " + status);
         } else {
             request.answered(runner, status, headers, held.toByteArray());
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerRequest.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerRequest.java
@@ -6,17 +6,17 @@
 import org.parsleydrift.registry.Team;
 
 /**
- * A request as it goes to a runner.
+ * A request to a runner.
  *
- * @param id the id that the answer must bear
+ * @param id request id, which the response must repeat
  * @param method the HTTP method
  * @param target path and query
- * @param headers its headers
- * @param body its body
- * @param repeatable whether it may be sent again if nothing comes back
+ * @param headers headers to send
+ * @param body the body; empty if there is none
+ * @param repeatable whether the request may be retried after an unknown outcome
  */
 record RunnerRequest(String id, String method, String target, HttpHeaders headers, byte[] body, boolean repeatable) {
-    /** Makes the request that goes to one runner: the caller's, with the headers that are the system's to set. */
+    /** Builds the request to a runner from that of the caller, replacing the headers that only the system sets. */
     static RunnerRequest of(
             CallerRequest request,
             RequestFacts facts,
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/StrictRequestDecoder.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/StrictRequestDecoder.java
@@ -5,8 +5,8 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Reads requests and refuses those whose framing can be read in two ways: a length beside chunks. A node and a runner
- * that read them differently would take a smuggled request for one of a caller.
+ * HTTP request decoder that rejects ambiguous framing, such as {@code Content-Length} together with chunked encoding, which
+ * permits request smuggling.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
     StrictRequestDecoder(int maxHeaderBytes) {
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TeamClaim.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TeamClaim.java
@@ -10,7 +10,7 @@
 import org.parsleydrift.registry.Route;
 import org.parsleydrift.registry.Team;
 
-/** The team that a request came from, and its place in that team's allotment. A request of no team has all it needs. */
+/** The team of a request and the charge against its quota. Requests without a team are not limited. */
 final class TeamClaim {
     private final Registry registry;
     private final Allotments allotments;
@@ -33,17 +33,17 @@
         return team;
     }
 
-    /** Whose the request's turns and programs are. */
+    /** Returns the prefix of the ids of the request's turns and programs, which separates owners. */
     String owner() {
         return owner;
     }
 
-    /** The rank of the request: its team's, or else its route's. */
+    /** Returns the priority of the team or, if it has none, of the route; 0 is the highest. */
     int priority(Route route) {
         return team.map(Team::priority).orElse(OptionalInt.empty()).orElse(route.priority());
     }
 
-    /** Whether the newest manifest names nobody any more who holds the request's key. */
+    /** Returns whether no team of the manifest in force owns the key of the request any more. */
     boolean takenAway() {
         return team.isPresent()
                 && registry.manifest()
@@ -52,16 +52,16 @@
                         .isPresent();
     }
 
-    /** When to come back if nothing of the team may run now; known before the store VMs are asked for a turn. */
+    /** Returns the retry delay if the team's quota is exhausted, else empty. Does not charge the quota. */
     Optional<Duration> full() {
         return team.filter(allotments::full).map(allotments::comeBack);
     }
 
     /**
-     * Asks once for a place in the allotment.
+     * Charges the request to the team's quota. To be called once per request.
      *
-     * @param underWay whether its program has already used runner time
-     * @param ofProgram whether it belongs to a program, which will need more places
+     * @param underWay whether the request's program has already used runner time
+     * @param ofProgram whether the request belongs to a program, which needs further requests
      */
     AllotmentRuling ask(boolean underWay, boolean ofProgram) {
         if (team.isEmpty()) {
@@ -74,12 +74,12 @@
         return ruling;
     }
 
-    /** It goes to another runner though the one before may have run it: that counts once more. */
+    /** Charges the quota again for a retry; the first attempt may have run as well. */
     void again() {
         place.ifPresent(AllottedPlace::again);
     }
 
-    /** No runner has begun it or will. */
+    /** Reverts the latest charge of a request that no runner has started since or will start. */
     void giveBack() {
         place.ifPresent(AllottedPlace::giveBack);
     }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Tries.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Tries.java
@@ -5,13 +5,13 @@
 import java.util.Set;
 import org.parsleydrift.registry.Runner;
 
-/** The runners that one request was offered to, and how many of them may have run it. */
+/** The attempts of one request: the runners it was sent to, and how many of them may have run it. */
 final class Tries {
     private final Set<String> avoided = new HashSet<>();
     private int offers;
     private int runs;
 
-    /** Lives of runners that it must not go to again. */
+    /** Returns the ids of the runner incarnations that the request must not be sent to again. */
     Set<String> avoided() {
         return avoided;
     }
@@ -20,17 +20,17 @@
         return offers;
     }
 
-    /** A runner is offered the request. */
+    /** Counts an attempt. */
     void offered() {
         offers++;
     }
 
-    /** A runner surely has not run it. */
+    /** Records an attempt that certainly did not run. */
     void notRunAt(String life) {
         avoided.add(life);
     }
 
-    /** A runner may have run it. */
+    /** Records an attempt that may have run. */
     void mayHaveRunAt(String life) {
         runs++;
         avoided.add(life);
@@ -40,17 +40,17 @@
         return runs > 0;
     }
 
-    /** Whether one more runner may run it after the present one, by the number that its route allows. */
+    /** Returns whether the route's limit permits another attempt that may run, after the current one. */
     boolean anotherAllowed(int maxAttempts) {
         return runs + 1 < maxAttempts;
     }
 
-    /** Whether it may be offered to one of some runners yet. */
+    /** Returns whether the request may be sent to one of the given runners. */
     boolean mayBeOffered(List<Runner> runners) {
         return offers < RelayLimits.MOST_OFFERS && anyLeft(runners);
     }
 
-    /** Whether there is a runner that it was not offered to yet. */
+    /** Returns whether one of the given runners has not been tried yet. */
     boolean anyLeft(List<Runner> runners) {
         return runners.stream().anyMatch(each -> !avoided.contains(each.life()));
     }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TurnRecord.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TurnRecord.java
@@ -14,7 +14,7 @@
 import org.parsleydrift.placement.PromptPart;
 import org.parsleydrift.registry.Route;
 
-/** What the store VMs know of one request: its reservation of tokens and, once it has ended, its turn. */
+/** The records of one request at the store VMs: its token reservation and, once it has ended, its turn. */
 final class TurnRecord {
     private static final Logger LOG = System.getLogger(TurnRecord.class.getName());
 
@@ -24,7 +24,7 @@
     private final String owner;
     private boolean reserved;
 
-    /** Makes a record; under an owner's name, since turns and programs of other owners may have the same ids. */
+    /** Creates a record whose turn and program ids are prefixed with the owner, as other owners may use the same ids. */
     TurnRecord(Relay relay, RequestFacts facts, Route route, String owner) {
         this.relay = relay;
         this.facts = facts;
@@ -40,7 +40,7 @@
         return facts.previousTurn().isEmpty() ? "" : owner + facts.previousTurn();
     }
 
-    /** Reserves tokens and reads the chain; completes on the relay's loop and never fails. */
+    /** Reserves tokens and reads the conversation history. The future completes on the relay's loop and never fails. */
     CompletableFuture<BeginResult> begin(Duration patience) {
         OptionalInt budget = facts.program().isEmpty() ? OptionalInt.empty() : facts.budget();
         String previous = route.keepsConversation() ? previousTurn() : "";
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Gives the reservation back; only where no runner has begun the request or will. */
+    /** Releases the token reservation; only if no runner has started the request or will. */
     void release() {
         if (reserved) {
             reserved = false;
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Notes what was passed on of a turn that broke off. Its reservation would else count at its most for as long as it is
-     * kept, and a program that has got few tokens or none would be told over and over that its budget is spent.
+     * Settles the reservation of an aborted turn with the tokens of the forwarded events. An unsettled reservation counts in
+     * full against the program's budget until it expires.
      */
     void brokeOff(int events, String service) {
         if (reserved) {
@@ -102,8 +102,8 @@
     }
 
     /**
-     * Tokens of events that were passed on. Where the manifest names their service no more, nobody can tell how many an event
-     * has; they then count as the most that the turn may generate, or the program could get more than its budget holds.
+     * Returns the number of tokens in forwarded events. If the service is gone from the manifest, the tokens per event are
+     * unknown; the maximum of the turn is assumed, so that the program cannot exceed its budget.
      */
     private int tokensOf(int events, String service) {
         if (events == 0) {
@@ -116,7 +116,7 @@
                 .orElse(facts.mostTokens());
     }
 
-    /** Notes the end of a stream that came whole; fails if the turn is to be kept and can't be made sure of in time. */
+    /** Commits a complete stream. The future fails if the turn must be stored and is not durable in time. */
     CompletableFuture<Void> end(
             String runner, String service, byte[] input, EventStreamReader events, long leftMillis) {
         int tokens = tokensOf(events.events(), service);
@@ -127,7 +127,7 @@
         return keep(runner, tokens, input, events.data(), patience);
     }
 
-    /** Notes what was generated; waits for a while only, since nothing of the answer depends on it. */
+    /** Settles the reservation. The future never fails; after a timeout the write continues in the background. */
     CompletableFuture<Void> settle(String runner, int tokens) {
         if (!reserved) {
             return CompletableFuture.completedFuture(null);
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Waiter.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Waiter.java
@@ -6,32 +6,32 @@
 import org.parsleydrift.placement.HeldPart;
 import org.parsleydrift.placement.PromptPart;
 
-/** A request that waits for a runner. */
+/** A request in the queue of the {@link Dispatcher}. */
 interface Waiter {
-    /** The service whose runners can serve it. */
+    /** Returns the name of the service whose runners can process the request. */
     String service();
 
-    /** Parts of its prompt; empty where it has none. */
+    /** Returns the parts of the prompt in order; empty if there is none. */
     List<PromptPart> prompt();
 
-    /** Parts that runners hold by the word of the store VMs. */
+    /** Returns the cached prompt parts that the store VMs have reported. */
     List<HeldPart> heard();
 
-    /** Runners it must not go to again. */
+    /** Returns the ids of the runner incarnations that the request must not be sent to again. */
     Set<String> avoided();
 
-    /** Whether it has waited nearly as long as it may; it then goes to any runner with room. */
+    /** Returns whether any free runner is acceptable, since the queue wait is nearly over. */
     boolean anywhere();
 
-    /** Its rank; 0 is the highest. */
+    /** Returns the priority; 0 is the highest. */
     int priority();
 
-    /** Whether its program has already used runner time, which is lost if it fails. */
+    /** Returns whether the request's program has already used runner time, which is wasted if the request fails. */
     boolean underWay();
 
-    /** The manifest may be another one; it leaves if it may not run any more. */
+    /** Called after a change of the manifest; the request withdraws if its key was revoked. */
     void manifestChanged();
 
-    /** A place at a runner is taken for it. */
+    /** Sends the request to a runner, at which the dispatcher has reserved a slot. */
     void offered(Candidate chosen);
 }
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/BrokenTurnTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/BrokenTurnTest.java
@@ -48,7 +48,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a turn that breaks off costs its program's budget. */
+/** Tokens that an aborted turn charges to its program's budget. */
 public class BrokenTurnTest {
     private static final int PATIENCE_MILLIS = 20_000;
     private static final int TOKENS_PER_EVENT = 50;
@@ -137,7 +137,7 @@
                 });
     }
 
-    /** The manifest, with the service that the route leads to or without. */
+    /** Returns a manifest with or without the service of the route. */
     private static RoutingManifest manifest(boolean withService) {
         return new RoutingManifest(
                 withService ? 1 : 2,
@@ -190,12 +190,7 @@
         assertEquals(countedOf(id), tokens);
     }
 
-    /**
-     * A program was told 35 times over 11 s that its budget is spent, though it had got no token. Its first try was placed
-     * and its caller left before the first event ({@code caller_left cause=after_offer}); from then on each try was refused
-     * with {@code budget_spent counted=288 generated=0 most=288 budget=500}. The reservation of the try that broke off
-     * stayed at its most for good, though the node that served it knew that it had passed nothing on.
-     */
+    /** The reservation of a turn whose caller disconnects before the first event must not remain charged to the budget. */
     @Test
     public void aTurnWhoseCallerLeftBeforeTheFirstEventCostsNothing() throws IOException {
         serve(request -> ScriptedRunner.header(request, "Parsleydrift-Request").equals("q1")
@@ -214,7 +209,7 @@
         }
     }
 
-    /** What was passed on before a stream broke counts, and no more. */
+    /** Only the events forwarded before a stream breaks are charged. */
     @Test
     public void aTurnThatBreaksMidwayCostsWhatWasPassedOn() throws IOException {
         serve(request -> STREAM.formatted("q1", 100, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"));
@@ -225,10 +220,7 @@
         awaitCounted("q1", 2 * TOKENS_PER_EVENT);
     }
 
-    /**
-     * A program may get more tokens than its budget holds. Its stream breaks after two events while a newer manifest does not
-     * name the service any more, so that nobody can tell how many tokens an event has; the turn was counted with none.
-     */
+    /** If the service of a broken stream is gone from the manifest, its tokens are unknown and the full reservation counts. */
     @Test
     public void eventsOfUnknownSizeLeaveTheReservationAtItsMost() throws IOException {
         serve(request -> STREAM.formatted("q1", 100, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"));
@@ -237,7 +229,7 @@
             loop.execute(() -> registry.manifestChanged(List.of(new SharedObject("main", 2, false, new byte[] {1}))));
             socket.getInputStream().transferTo(OutputStream.nullOutputStream());
         } catch (SocketException reset) {
-            // The broken stream ends with a reset or a close; either will do here.
+            // A broken stream may end with a reset or with a close.
         }
         try (Socket next = send("q2", "Parsleydrift-Deadline-Ms: 700\r\n")) {
             String answer = new String(next.getInputStream().readAllBytes(), ISO_8859_1);
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/CallerConnectionTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/CallerConnectionTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Framing of callers' requests. */
+/** Framing of callers' requests and responses. */
 public class CallerConnectionTest {
     private final List<CallerRequest> requests = new ArrayList<>();
     private final List<CallerAnswer> answers = new ArrayList<>();
@@ -84,10 +84,7 @@
         };
     }
 
-    /**
-     * Symptom: a runner runs a request that no caller sent. Events: a caller sends a request whose length can be read in
-     * two ways. Cause: the node reads it one way and the runner the other.
-     */
+    /** Ambiguous framing must be rejected, since it permits request smuggling. */
     @Test(dataProvider = "ambiguous")
     public void refusesAmbiguousFraming(String text) {
         EmbeddedChannel channel = connect();
@@ -110,7 +107,7 @@
         assertTrue(channel.isOpen());
     }
 
-    /** Symptom: a runner works on for a caller that has left. Cause: nobody looks at the connection meanwhile. */
+    /** The handler must learn that the caller has disconnected, so that it cancels the request. */
     @Test
     public void tellsThatACallerHasLeft() {
         EmbeddedChannel channel = connect();
@@ -119,7 +116,7 @@
         assertEquals(gone, 1);
     }
 
-    /** An answer that broke off must not look complete. */
+    /** An aborted response must not look complete. */
     @Test
     public void anAbortedStreamHasNoEnd() {
         EmbeddedChannel channel = connect();
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/DispatcherTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/DispatcherTest.java
@@ -23,7 +23,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Who gets a runner next when there are fewer places than requests. */
+/** Order in which queued requests are assigned to runners. */
 public class DispatcherTest {
     private static final int SLOTS = 2;
 
@@ -114,7 +114,7 @@
         registry.runnersChanged(List.of(new SharedObject(id, ++revision, false, content)));
     }
 
-    /** A burst fills the runners; the rest waits here, and programs under way go before new ones. */
+    /** Queued requests of programs in progress precede those of new programs, whatever their priority. */
     @Test
     public void programsUnderWayGoFirst() {
         runner("r1", false);
@@ -129,7 +129,7 @@
         assertEquals(placed, List.of("a", "b", "going", "new-urgent"));
     }
 
-    /** Symptom: two nodes fill one runner twice over. Cause: each sees only its own requests there. */
+    /** The load reported by peers counts, so that two nodes do not overload one runner. */
     @Test
     public void whatPeersHaveAtARunnerCounts() {
         runner("r1", false);
@@ -140,7 +140,7 @@
         assertEquals(request.runner.id(), "r2");
     }
 
-    /** A runner that leaves gets nothing new; what waits is placed as soon as another comes. */
+    /** A draining runner receives no requests; queued ones are assigned as soon as another runner appears. */
     @Test
     public void drainingRunnersGetNothing() {
         runner("r1", true);
@@ -150,10 +150,7 @@
         assertEquals(placed, List.of("a"));
     }
 
-    /**
-     * Symptom: requests wait while a runner has places, for as long as another one is busy. Events: a peer has filled one
-     * runner. Cause: runners are told apart by a hash of their names that both share, and their loads are added.
-     */
+    /** The peer loads of runners whose ids have the same {@code hashCode} must not be added. */
     @Test
     public void runnersWhoseNamesShareAHashAreToldApart() {
         assertEquals("Aa".hashCode(), "BB".hashCode());
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/EventStreamReaderTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/EventStreamReaderTest.java
@@ -24,7 +24,7 @@
         assertEquals(new String(reader.data(), UTF_8), "one\ntwo\n");
     }
 
-    /** Symptom: a caller gets a stream with a piece missing. Cause: events are passed on whatever their ids. */
+    /** Events after a gap in the ids must not be forwarded. */
     @Test
     public void stopsAtAGap() {
         EventStreamReader reader = new EventStreamReader(false);
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/QueueWaitTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/QueueWaitTest.java
@@ -10,14 +10,11 @@
 import org.parsleydrift.kernel.ManualScheduler;
 import org.testng.annotations.Test;
 
-/** How long a request waits for the runner that holds its prompt, and how long at all. */
+/** Timeouts of a request's wait for a runner. */
 public class QueueWaitTest {
     private final List<String> seen = new ArrayList<>();
 
-    /**
-     * Symptom: a request is refused for want of room though runners have places. Events: the runner that holds its prompt is
-     * stuck, and nothing else happens at the node. Cause: nobody looked again before the wait was over.
-     */
+    /** The placement must be retried near the end of the wait, also if no other event occurs at the node. */
     @Test
     public void nearItsEndAnyRunnerWillDo() {
         seen.clear();
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RelayTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RelayTest.java
@@ -43,7 +43,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The life of a request between a caller and runners, over real connections. */
+/** Processing of requests between a caller and runners, over real connections. */
 public class RelayTest {
     private static final String OK = "200 OK";
     private static final int PATIENCE_MILLIS = 20_000;
@@ -187,11 +187,7 @@
         assertTrue(Integer.parseInt(ScriptedRunner.header(request, "Parsleydrift-Deadline-Ms")) <= 5000);
     }
 
-    /**
-     * Callers were told "no such route" of a route that the operators had added, and gave up: nobody tries again after
-     * that answer. The platform was silent, so the node could not know whether its manifest was still the newest; the
-     * refusal was judged by it all the same: two nodes said so 2.7 and 2.8 s after the route was acknowledged.
-     */
+    /** A 404, after which callers do not retry, must not be sent under a manifest that may be outdated. */
     @Test
     public void noRouteIsSaidOnlyUnderAManifestThatIsKnownToBeTheNewest() throws IOException {
         knowManifest();
@@ -206,10 +202,7 @@
         assertTrue(sure.startsWith("HTTP/1.1 404 "), sure);
     }
 
-    /**
-     * Symptom: callers use up their tries at a node that starts. Events: a request comes before the first manifest.
-     * Cause: a refusal at once, though the manifest is a fraction of a second away.
-     */
+    /** A request that arrives before the first manifest must wait for it instead of being rejected. */
     @Test
     public void aRequestWaitsForTheFirstManifest() throws IOException {
         runner("r1", says(OK, "", "done"));
@@ -229,7 +222,7 @@
         return open.join();
     }
 
-    /** A runner's word that it has not run a request brings it back to "not run", whatever the route. */
+    /** A request that a runner reports as not executed goes to another runner, whatever the route. */
     @Test
     public void notExecutedGoesToAnotherRunner() throws IOException {
         knowManifest();
@@ -243,10 +236,7 @@
         assertTrue(call("/once/", "").startsWith("HTTP/1.1 200 "));
     }
 
-    /**
-     * Symptom: a call that must not repeat runs twice, or is said not to have run. Events: the runner has read the request
-     * and resets the connection. Cause: a reset taken for "not run".
-     */
+    /** A reset after the request was sent must not count as "not run". */
     @Test
     public void aResetAfterSendingIsUnknown() throws IOException {
         knowManifest();
@@ -256,7 +246,7 @@
         assertEquals(first.requests.size() + second.requests.size(), 1);
     }
 
-    /** A 503 without the runner's word promises what the runner did not promise. */
+    /** A runner's 503 without the not-executed header must not be forwarded, since callers take it as "not run". */
     @Test
     public void aBusyAnswerWithoutTheWordIsUnknown() throws IOException {
         knowManifest();
@@ -275,10 +265,7 @@
         assertEquals(first.requests.size() + second.requests.size() + third.requests.size(), 2);
     }
 
-    /**
-     * Symptom: a program fails though its call may be repeated. Events: a runner takes an idempotent call and its answer
-     * is lost; the call waits for its whole time. Cause: silence was never taken for a lost answer.
-     */
+    /** An idempotent call without a response within the target latency must be retried at another runner. */
     @Test
     public void anIdempotentCallWhoseAnswerIsLostGoesToAnotherRunner() throws Exception {
         knowManifest();
@@ -292,7 +279,7 @@
         assertEquals(second.requests.size(), 1);
     }
 
-    /** A silent runner may be at work on a call that must not repeat: it is waited for. */
+    /** A non-idempotent call without a response must not be retried, since the runner may be processing it. */
     @Test
     public void aCallThatMustNotRepeatIsNotSentAgainForSilence() throws Exception {
         knowManifest();
@@ -302,10 +289,7 @@
         assertEquals(first.requests.size() + second.requests.size(), 1);
     }
 
-    /**
-     * Symptom: "not run" of a call that one runner has had. Events: the first runner resets after sending, the second
-     * says that it has not run it. Cause: the second runner's word was taken for both.
-     */
+    /** "Not executed" by the second runner must not hide that the first one may have run the call. */
     @Test
     public void notExecutedByTheSecondRunnerDoesNotSpeakForTheFirst() throws IOException {
         knowManifest();
@@ -332,7 +316,7 @@
         }
     }
 
-    /** At the route's timeout the answer is final and the runner is told to stop. */
+    /** At the route's timeout the caller gets its response and the request is cancelled at the runner. */
     @Test
     public void theRoutesTimeoutEndsTheRequest() throws Exception {
         knowManifest();
@@ -341,7 +325,7 @@
         assertTrue(runner.left.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
     }
 
-    /** Symptom: a runner works on for nobody. Events: the caller leaves while the runner works. */
+    /** A request whose caller disconnects must be cancelled at the runner. */
     @Test
     public void aCallerThatLeavesStopsTheRunner() throws Exception {
         knowManifest();
@@ -354,7 +338,7 @@
         assertTrue(runner.left.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
     }
 
-    /** A stream that breaks off has no end that looks like one, and no part of an event. */
+    /** A broken stream must have neither a terminating chunk nor a partial event. */
     @Test
     public void aStreamThatBreaksOffLooksBroken() throws IOException {
         knowManifest();
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestFactsTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestFactsTest.java
@@ -9,7 +9,7 @@
 import org.parsleydrift.placement.PromptPart;
 import org.testng.annotations.Test;
 
-/** What headers of a request say. */
+/** Parsing of request headers. */
 public class RequestFactsTest {
     private static List<PromptPart> prompt(String parts, String program, String budget) {
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
@@ -29,14 +29,14 @@
         assertEquals(prompt("a1:512, b2:40", "", ""), List.of(new PromptPart("a1", 512), new PromptPart("b2", 40)));
     }
 
-    /** Symptom: a proper request is refused for a header that only helps to place it. */
+    /** A malformed header that only affects placement must not lead to a rejection. */
     @Test
     public void partsThatMakeNoSenseCountAsNone() {
         List.of("", "x", "a:", ":5", "a:-5", "a:5,,b:6", "a:5,", "a:99999999999", "a:1.5")
                 .forEach(parts -> assertEquals(prompt(parts, "", ""), List.of(), parts));
     }
 
-    /** Turns of a program that says nothing of its prompts are kept together all the same. */
+    /** Turns of a program that sends no prompt parts still share one part. */
     @Test
     public void withoutPartsTheProgramIsOne() {
         List<PromptPart> whole = prompt("", "p1", "100");
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestMatchTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestMatchTest.java
@@ -18,7 +18,7 @@
 import org.parsleydrift.registry.TeamKeys;
 import org.testng.annotations.Test;
 
-/** Whose a request is. */
+/** Matching of requests to routes, teams and owners. */
 public class RequestMatchTest {
     private static final RelayDialect DIALECT = RelayDialect.own();
 
@@ -57,8 +57,8 @@
     }
 
     /**
-     * A caller that names another team's turn would be given what was said in it. Turns are kept under their owner's name, so
-     * no two owners' names may run into the ids behind them: of teams, of none, and of callers on open routes.
+     * The owner prefixes of teams, of open routes and of manifests without teams must not overlap, or a caller could read the
+     * turns of another owner.
      */
     @Test
     public void eachTeamOwnsItsTurnsAlone() {
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RunnerConnectionTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RunnerConnectionTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Answers of runners that are late, doubled, cut or no answers at all. */
+/** Handling of late, duplicate, truncated and malformed responses of runners. */
 public class RunnerConnectionTest {
     private static final String STAMP = "Parsleydrift-Stamp: s\r\n";
 
@@ -89,10 +89,7 @@
         assertEquals(kept, List.of(connection));
     }
 
-    /**
-     * Symptom: a caller gets another caller's answer. Events: a runner answers q1 twice; the second answer arrives once
-     * q2 waits on the same connection. Cause: answers are matched by their place alone.
-     */
+    /** A duplicate response to an earlier request must not be taken for that of the current one. */
     @Test
     public void aSecondAnswerToAnEarlierRequestIsSkipped() {
         ask("q1");
@@ -106,7 +103,7 @@
         assertFalse(channel.isOpen());
     }
 
-    /** Bytes that nobody asked for spoil an idle connection. */
+    /** An unsolicited response closes an idle connection. */
     @Test
     public void anIdleConnectionThatSpeaksIsClosed() {
         ask("q1");
@@ -132,7 +129,7 @@
         assertFalse(channel.isOpen());
     }
 
-    /** An answer without a length is whole when its connection ends, but not when it is reset. */
+    /** A response without a length is complete when its connection is closed, but not when it is reset. */
     @Test
     public void anAnswerWithoutLengthEndsWithItsConnection() {
         ask("q1");
@@ -147,11 +144,7 @@
         assertFalse(events.contains("end"));
     }
 
-    /**
-     * Symptom: a caller is given a success that no runner vouches for. Events: a runner that spoils its answers sends
-     * "200" with a body on a fresh connection, but without the request's id or without its stamp. Cause: the first answer
-     * on a connection was taken for the request's own if it named no other.
-     */
+    /** A success response without request id or stamp must not be forwarded, even as the first one on a connection. */
     @Test(dataProvider = "unprovenHeads")
     public void aSuccessWithoutIdOrStampIsBroken(String head) {
         ask("q1");
@@ -161,7 +154,7 @@
         assertEquals(kept, List.of());
     }
 
-    /** Heads that have lost what proves them. */
+    /** Response heads without request id, stamp or both. */
     @DataProvider
     public Object[][] unprovenHeads() {
         return new Object[][] {{""}, {STAMP}, {"Parsleydrift-Request: q1\r\n"}};
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/ScriptedRunner.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/ScriptedRunner.java
@@ -14,11 +14,11 @@
 import java.util.function.Function;
 import org.parsleydrift.registry.Runner;
 
-/** A runner that answers as a test says. */
+/** HTTP runner whose responses a test scripts. */
 final class ScriptedRunner implements AutoCloseable {
-    /** Closes with a reset instead of an answer. */
+    /** Reply that resets the connection. */
     static final String RESET = "reset";
-    /** Never answers; the connection stays open. */
+    /** Reply that is never sent; the connection stays open. */
     static final String SILENCE = "silence";
 
     final List<String> requests = new CopyOnWriteArrayList<>();
@@ -68,7 +68,7 @@
                 thread.start();
             }
         } catch (IOException closed) {
-            // The test has ended.
+            // close() was called at the end of the test.
             return;
         }
     }
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Reads a request with its body; empty at the end of the connection. */
+    /** Reads a request with its body; returns the empty string at the end of the connection. */
     private static String read(InputStream in) {
         try {
             StringBuilder text = new StringBuilder();
