--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/AllotmentRule.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/AllotmentRule.java
@@ -4,14 +4,17 @@
 import org.parsleydrift.registry.Allotment;
 
 /**
- * Limits that a team's quota sets on the requests in a sliding window. Nodes learn of each other's admissions with a delay,
- * so a fleet may exceed the nominal limit by a tolerance; the limits computed here use part of it.
+ * Limits that a team's quota sets on the requests in a sliding window. Nodes learn of each other's admissions with a
+ * delay, so a fleet may exceed the nominal limit by a tolerance; the limits computed here use part of it.
  *
  * @param window length of the sliding window
  * @param slack requests above the quota that are tolerated in one window
  */
 public record AllotmentRule(Duration window, double slack) {
-    /** Share of the tolerance added to the limit; it keeps unreported requests from costing a small team part of its quota. */
+    /**
+     * Share of the tolerance added to the limit, so that unreported requests do not cost a small team part of its
+     * quota.
+     */
     private static final double SLACK_GIVEN_OUT = 0.5;
 
     /** Share of the tolerance reserved for requests that peers have admitted but not reported yet. */
@@ -21,16 +24,16 @@
     private static final double LOST_PER_UNSEEN = 4;
 
     /**
-     * Returns the limit for the recent half of the window, in requests. It bounds bursts, and lets a fleet that has lost all
-     * its counts continue at the nominal rate.
+     * Returns the limit for the recent half of the window, in requests. It bounds bursts, and lets a fleet that has
+     * lost all its counts continue at the nominal rate.
      */
     double late(Allotment allotment) {
         return allotment.most(seconds() / 2) + slack;
     }
 
     /**
-     * Returns the limit for the whole window, in requests. The rate counts as used up for the unobserved part of the window;
-     * the burst and the tolerance shrink as that part grows.
+     * Returns the limit for the whole window, in requests. The rate counts as used up for the unobserved part of the
+     * window; the burst and the tolerance shrink as that part grows.
      *
      * @param allotment the team's quota
      * @param unseen share of the window that precedes the start of nodes, 0 to 1
@@ -40,7 +43,7 @@
         return allotment.ratePerSecond() * seconds() * (1 - unseen) + above * known(unseen);
     }
 
-    /** Returns the requests by which unreported admissions may exceed the limit; 0 if much of the window is unobserved. */
+    /** Returns the requests by which unreported admissions may exceed the limit; 0 if much is unobserved. */
     double unheard(double unseen) {
         return SLACK_FOR_UNHEARD * slack * known(unseen);
     }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Allotments.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Allotments.java
@@ -12,12 +12,13 @@
 import org.parsleydrift.registry.Team;
 
 /**
- * Enforces the quotas of teams over all nodes without a central coordinator. Each node adds the requests that it has admitted
- * to the usage that its peers have last reported.
+ * Enforces the quotas of teams over all nodes without a central coordinator. Each node adds the requests that it has
+ * admitted to the usage that its peers have last reported.
  *
- * <p>An incomplete program wastes the capacity that it has used. Requests of programs in progress are therefore admitted up to
- * the limit, while a new program is admitted only if its expected number of requests fits. If demand exceeds the remaining
- * quota, requests are selected at random, so that nodes with outdated reports do not all claim the same capacity.
+ * <p>An incomplete program wastes the capacity that it has used. Requests of programs in progress are therefore
+ * admitted up to the limit, while a new program is admitted only if its expected number of requests fits. If demand
+ * exceeds the remaining quota, requests are selected at random, so that nodes with outdated reports do not all claim
+ * the same capacity.
  *
  * <p>Not thread-safe; confined to one event loop.
  */
@@ -167,9 +168,9 @@
     }
 
     /**
-     * Selects requests at random if demand exceeds the remaining quota, each with the same probability at every node; all nodes
-     * see the same remaining quota and would otherwise claim it at the same time. Demand that peers have not reported yet is
-     * estimated from their last reports.
+     * Selects requests at random if demand exceeds the remaining quota, each with the same probability at every node;
+     * all nodes see the same remaining quota and would otherwise claim it at the same time. Demand that peers have not
+     * reported yet is estimated from their last reports.
      */
     private boolean drawn(double free, Windowed taken, int asking, int askingOthers) {
         double leavingPerSecond = LEAVING_SHARE
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/AllottedPlace.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/AllottedPlace.java
@@ -17,7 +17,7 @@
         counts.ran(takenNanos, 1);
     }
 
-    /** Reverts the latest charge of a request that no runner has run since or will run. Further calls have no effect. */
+    /** Reverts the latest charge of a request that no runner has run since or will run; only the first call counts. */
     public void giveBack() {
         if (taken) {
             taken = false;
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Candidate.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Candidate.java
@@ -12,7 +12,7 @@
  * @param missingTokens tokens of the request's prompt that the runner has not cached; 0 without a prompt
  */
 public record Candidate(Runner runner, int load, boolean suspended, boolean near, int missingTokens) {
-    /** Returns the maximum load, in requests. It exceeds the slots for prompts, so that a freed slot is refilled at once. */
+    /** Returns the maximum load, in requests; with prompts it exceeds the slots, so that a freed slot is refilled. */
     int most(boolean prompted) {
         return runner.slots() + (prompted ? Math.max(1, runner.slots() / RunnerChoice.QUEUED_SHARE) : 0);
     }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PeerUse.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PeerUse.java
@@ -7,8 +7,8 @@
 
 /**
  * Quota usage reported by other nodes or zones. Requests admitted by nodes that drop out of a report still count in the
- * window; without them a team could use its quota twice. The report that covers the most nodes is therefore retained until
- * another one covers as many, and decays linearly over the second half of the window.
+ * window; without them a team could use its quota twice. The report that covers the most nodes is therefore retained
+ * until another one covers as many, and decays linearly over the second half of the window.
  */
 final class PeerUse {
     private final long windowNanos;
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PromptMemory.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PromptMemory.java
@@ -8,8 +8,8 @@
 
 /**
  * Estimates which prompt parts each runner has cached, from the prompts that this node has sent there. A turn's prompt
- * extends that of the turn before it, so a runner that served the earlier turn computes only the new tokens. Parts sent by
- * other nodes are known from the program's grants.
+ * extends that of the turn before it, so a runner that served the earlier turn computes only the new tokens. Parts sent
+ * by other nodes are known from the program's grants.
  *
  * <p>Not thread-safe; confined to one event loop.
  */
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Returns the number of tokens of a prompt that a runner has not cached. A runner that has cached a part is assumed to
-     * have cached all parts before it.
+     * Returns the number of tokens of a prompt that a runner has not cached. A runner that has cached a part is assumed
+     * to have cached all parts before it.
      *
      * @param runner id of the runner's incarnation
      * @param prompt parts of the prompt in order
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RetryBudget.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RetryBudget.java
@@ -1,8 +1,8 @@
 package org.parsleydrift.placement;
 
 /**
- * Limits the retries that one service gets from this node to a share of its first attempts, plus a small reserve. Isolated
- * failures are retried, while a service that fails as a whole is not overloaded further by retries.
+ * Limits the retries that one service gets from this node to a share of its first attempts, plus a small reserve.
+ * Isolated failures are retried, while a service that fails as a whole is not overloaded further by retries.
  */
 public final class RetryBudget {
     /** Retries earned by each first attempt. */
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerChoice.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerChoice.java
@@ -7,13 +7,15 @@
 import java.util.stream.Stream;
 
 /**
- * Chooses a runner for a request. A model engine delays its whole batch while it computes uncached prompt tokens, so the cost
- * of a placement is the uncached part of the prompt, for the request itself and for those that run beside it, plus the delay
- * by the prompts of later requests. The runner with the lowest cost is chosen; if it is full, the request waits for it instead
- * of recomputing its prompt elsewhere. Runners of services without prompts are compared by load alone.
+ * Chooses a runner for a request. A model engine delays its whole batch while it computes uncached prompt tokens, so
+ * the cost of a placement is the uncached part of the prompt, for the request itself and for those that run beside it,
+ * plus the delay by the prompts of later requests. The runner with the lowest cost is chosen; if it is full, the
+ * request waits for it instead of recomputing its prompt elsewhere. Runners of services without prompts are compared by
+ * load alone.
  *
- * <p>Each node sees the load of its peers with a delay. Only a random sample of the runners that have cached nothing of the
- * prompt is therefore compared, and ties are broken at random. Among equal runners those in the node's zone are preferred.
+ * <p>Each node sees the load of its peers with a delay. Only a random sample of the runners that have cached nothing of
+ * the prompt is therefore compared, and ties are broken at random. Among equal runners those in the node's zone are
+ * preferred.
  */
 public final class RunnerChoice {
     /** Slots per request that may queue at a runner; its own queue refills a freed slot without the reporting delay. */
@@ -34,7 +36,8 @@
      *
      * @param candidates runners of the service that accept new requests
      * @param usualMissing average number of uncached prompt tokens per request of the service; 0 without prompts
-     * @param anywhere whether any runner below its maximum load is acceptable, since the request's queue wait is nearly over
+     * @param anywhere whether any runner below its maximum load is acceptable, since the request's queue wait is nearly
+     *     over
      * @param random source of randomness for sampling and ties
      * @return the runner; empty if all are full, or if the best one is full and worth the wait
      */
@@ -48,7 +51,8 @@
      *
      * @param candidates runners of the service that accept new requests
      * @param usualMissing average number of uncached prompt tokens per request of the service; 0 without prompts
-     * @param anywhere whether any runner below its maximum load is acceptable, since the request's queue wait is nearly over
+     * @param anywhere whether any runner below its maximum load is acceptable, since the request's queue wait is nearly
+     *     over
      * @param drawn number of sampled runners that have cached nothing of the prompt; 0 to compare all
      * @param random source of randomness for sampling and ties
      * @return the runner; empty if all are full, or if the best one is full and worth the wait
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerHealth.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerHealth.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 
 /**
- * Passive health state of one runner, derived from the outcome of its requests. A runner that cannot be reached, or whose
- * responses break off repeatedly, is suspended with exponential backoff.
+ * Passive health state of one runner, derived from the outcome of its requests. A runner that cannot be reached, or
+ * whose responses break off repeatedly, is suspended with exponential backoff.
  */
 public final class RunnerHealth {
     private static final Duration FIRST_REST = Duration.ofMillis(200);
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/SlidingCount.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/SlidingCount.java
@@ -5,8 +5,8 @@
 import java.util.stream.LongStream;
 
 /**
- * A counter over a sliding window, divided into slots. A slot expires as a whole once all of it is older than the window, so
- * the sum is never too low, and too high by at most the count of one slot.
+ * A counter over a sliding window, divided into slots. A slot expires as a whole once all of it is older than the
+ * window, so the sum is never too low, and too high by at most the count of one slot.
  */
 final class SlidingCount {
     private static final int SLOTS = 50;
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/UseReport.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/UseReport.java
@@ -8,8 +8,8 @@
  * Quota usage that nodes exchange: that of one node, or the sum of several.
  *
  * @param nodes number of nodes included
- * @param unseenMillis part of the window before a node's start, summed over the nodes, ms; requests that a node admitted
- *     before its restart are unknown
+ * @param unseenMillis part of the window before a node's start, summed over the nodes, ms; requests that a node
+ *     admitted before its restart are unknown
  * @param teams usage by team name; teams without usage are omitted
  */
 public record UseReport(int nodes, int unseenMillis, Map<String, TeamUse> teams) {
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/AllotmentFleet.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/AllotmentFleet.java
@@ -15,8 +15,8 @@
 import org.parsleydrift.registry.Team;
 
 /**
- * Simulation of entry nodes that share one team's quota, on virtual time. Nodes exchange usage reports with a delay; programs
- * send their requests to random nodes and retry after a rejection.
+ * Simulation of entry nodes that share one team's quota, on virtual time. Nodes exchange usage reports with a delay;
+ * programs send their requests to random nodes and retry after a rejection.
  */
 final class AllotmentFleet {
     static final Duration WINDOW = Duration.ofSeconds(5);
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/AllotmentsTest.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/AllotmentsTest.java
@@ -42,7 +42,9 @@
         });
     }
 
-    /** A team in overload, of which each node sees a small part, must stay within its quota and still complete programs. */
+    /**
+     * A team in overload, of which each node sees a small part, must stay within its quota and still complete programs.
+     */
     @Test(dataProvider = "fleets")
     public void aTeamThatSendsManyTimesItsUsualKeepsToItsLimit(int nodes, double rate) {
         IntStream.range(0, SEEDS).forEach(seed -> {
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/RunnerChoiceTest.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/RunnerChoiceTest.java
@@ -69,7 +69,10 @@
         assertEquals(choose(700, true, engine("held", 20, 200), engine("other", 20, 2500)), "none");
     }
 
-    /** A runner in the node's zone is preferred to a less loaded remote one, unless more than half of its slots are taken. */
+    /**
+     * A runner in the node's zone is preferred to a less loaded remote one, unless more than half of its slots are
+     * taken.
+     */
     @Test
     public void plainCallsStayInTheirZoneWhileItsRunnersHavePlaces() {
         assertEquals(choose(candidate("a", 1, false), candidate("near", 1, false), candidate("c", 1, false)), "near");
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerAnswer.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerAnswer.java
@@ -2,7 +2,10 @@
 
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** Response channel to the caller of one request. Exactly one of a full response, the end of a stream and an abort ends it. */
+/**
+ * Response channel to the caller of one request. Exactly one of a full response, the end of a stream and an abort ends
+ * it.
+ */
 interface CallerAnswer {
     /** Sends a full response. */
     void whole(int status, HttpHeaders headers, byte[] body);
@@ -16,6 +19,8 @@
     /** Ends a stream with the terminating chunk, which marks it as complete. */
     void endStream();
 
-    /** Closes the connection without the terminating chunk, so that the caller recognizes the response as incomplete. */
+    /**
+     * Closes the connection without the terminating chunk, so that the caller recognizes the response as incomplete.
+     */
     void abort();
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Dispatcher.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Dispatcher.java
@@ -20,8 +20,9 @@
 import org.parsleydrift.registry.RunnerKey;
 
 /**
- * Queues requests and assigns them to runners. Runners process requests in order of arrival and slow down under load, so they
- * receive no more than {@link RunnerChoice} permits; further requests wait here, ordered by priority, and can be withdrawn.
+ * Queues requests and assigns them to runners. Runners process requests in order of arrival and slow down under load,
+ * so they receive no more than {@link RunnerChoice} permits; further requests wait here, ordered by priority, and can
+ * be withdrawn.
  *
  * <p>Not thread-safe; confined to one event loop.
  */
@@ -89,7 +90,8 @@
     /**
      * Replaces the loads reported by peers and assigns queued requests that have become assignable.
      *
-     * @param loads requests by {@link RunnerKey} of the runner's incarnation, for each node or zone; empty for one that is gone
+     * @param loads requests by {@link RunnerKey} of the runner's incarnation, for each node or zone; empty for one that
+     *     is gone
      */
     public void peerLoads(Map<String, Map<Long, Integer>> loads) {
         loads.forEach((node, load) -> {
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/QueueWait.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/QueueWait.java
@@ -5,8 +5,8 @@
 import org.parsleydrift.kernel.LoopTimer;
 
 /**
- * Timers of one request's wait for a runner. A request may wait for the runner that has cached its prompt, but near the end
- * of the wait any free runner is acceptable, so that one stuck runner does not lead to a rejection.
+ * Timers of one request's wait for a runner. A request may wait for the runner that has cached its prompt, but near the
+ * end of the wait any free runner is acceptable, so that one stuck runner does not lead to a rejection.
  */
 final class QueueWait {
     private final EventLoop loop;
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Relay.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Relay.java
@@ -11,7 +11,9 @@
 import org.parsleydrift.registry.Registry;
 import org.parsleydrift.wire.NetworkThreads;
 
-/** Relays requests of callers to runners, each by a {@link RelayedRequest}. Not thread-safe; confined to one event loop. */
+/**
+ * Relays requests of callers to runners, each by a {@link RelayedRequest}. Not thread-safe; confined to one event loop.
+ */
 public final class Relay implements RequestHandler {
     private final EventLoop loop;
     private final Registry registry;
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayLimits.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayLimits.java
@@ -25,7 +25,9 @@
     /** Maximum time for settling the tokens of a turn that is not stored; continues in the background. */
     static final Duration SETTLE_WAIT = Duration.ofMillis(250);
 
-    /** Maximum wait for the first manifest at a starting node; an immediate rejection would use up the callers' retries. */
+    /**
+     * Maximum wait for the first manifest at a starting node; an immediate rejection would use up the callers' retries.
+     */
     static final Duration START_WAIT = Duration.ofMillis(800);
 
     /** Maximum wait for the first manifest, as a share of the caller's deadline. */
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
@@ -21,7 +21,8 @@
 
 /**
  * State machine of one request; its states are the values of {@link RequestStage}. A request has one of three outcomes:
- * <i>not run</i>, reported only if no runner can have started it; the response of a runner; and <i>unknown</i> otherwise.
+ * <i>not run</i>, reported only if no runner can have started it; the response of a runner; and <i>unknown</i>
+ * otherwise.
  */
 final class RelayedRequest implements Waiter {
     private static final Logger LOG = System.getLogger(RelayedRequest.class.getName());
@@ -221,11 +222,14 @@
         }
         exchange = new RunnerExchange(this, relay, runner, route.streaming(), route.keepsConversation());
         limitSilence(runner, exchange);
-        // Must come last: a pooled connection may fail at once, and the request is then queued again from within this call.
+        // Must come last: a pooled connection may fail at once, and the request is then queued again from within this
+        // call.
         exchange.start();
     }
 
-    /** Schedules a retry of an idempotent call whose response does not arrive within the target latency of its route. */
+    /**
+     * Schedules a retry of an idempotent call whose response does not arrive within the target latency of its route.
+     */
     private void limitSilence(Runner runner, RunnerExchange offered) {
         silenceTimer.cancel();
         if (!route.streaming() && !route.targetLatency().isZero() && mayRunAgain()) {
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestFacts.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestFacts.java
@@ -36,7 +36,10 @@
     /** A part with a token count of at most eight digits, which cannot overflow an int. */
     private static final Pattern PART = Pattern.compile("\\s*[^,:\\s]+:\\d{1,8}\\s*");
 
-    /** Returns whether the request is a turn recorded by the store VMs: one that is stored, or that has a program's budget. */
+    /**
+     * Returns whether the request is a turn recorded by the store VMs: one that is stored, or that has a program's
+     * budget.
+     */
     boolean turnOn(Route route) {
         return route.streaming() && (route.keepsConversation() || (budget.isPresent() && !program.isEmpty()));
     }
@@ -73,8 +76,8 @@
     }
 
     /**
-     * Parses the prompt parts. They only affect placement, so a malformed header is treated as absent. Without parts, the
-     * prompt of a turn counts as one part that the turns of its program share.
+     * Parses the prompt parts. They only affect placement, so a malformed header is treated as absent. Without parts,
+     * the prompt of a turn counts as one part that the turns of its program share.
      */
     private static List<PromptPart> prompt(HttpHeaders headers, RelayDialect dialect) {
         String[] parts = COMMA.split(headers.get(dialect.promptParts(), ""), -1);
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestMatch.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestMatch.java
@@ -34,8 +34,8 @@
     record Unsure(String reason) implements RequestMatch {}
 
     /**
-     * Matches a request. Callers do not retry after a missing route or key, so neither is reported under a manifest that may
-     * be outdated.
+     * Matches a request. Callers do not retry after a missing route or key, so neither is reported under a manifest
+     * that may be outdated.
      *
      * @param manifest the manifest in force
      * @param current whether the manifest is known to be the latest
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerAnswer.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerAnswer.java
@@ -2,7 +2,9 @@
 
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** Receives the response of a runner to one request. Exactly one of {@link #end} and {@link #broken} is called, last. */
+/**
+ * Receives the response of a runner to one request. Exactly one of {@link #end} and {@link #broken} is called, last.
+ */
 interface RunnerAnswer {
     /** Receives status and headers. */
     void head(int status, HttpHeaders headers);
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnection.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnection.java
@@ -24,9 +24,9 @@
 import org.parsleydrift.kernel.RuntimeClock;
 
 /**
- * One HTTP/1.1 connection to a runner, with one request at a time. Responses are matched by request id, since a duplicate
- * response to an earlier request would otherwise reach the wrong caller. A connection that has received a mismatched or
- * unsolicited response is not reused.
+ * One HTTP/1.1 connection to a runner, with one request at a time. Responses are matched by request id, since a
+ * duplicate response to an earlier request would otherwise reach the wrong caller. A connection that has received a
+ * mismatched or unsolicited response is not reused.
  */
 final class RunnerConnection extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = System.getLogger(RunnerConnection.class.getName());
@@ -177,15 +177,17 @@
         answer.head(status, response.headers());
     }
 
-    /** Returns whether a response belongs to the current request; without an id, only the first one on a connection can. */
+    /**
+     * Returns whether a response belongs to the current request; without an id, only the first one on a connection can.
+     */
     private boolean ours(HttpHeaders headers) {
         String id = headers.get(dialect.requestId());
         return id == null ? served == 0 && reusable : id.equals(request.id());
     }
 
     /**
-     * Returns whether a response carries the request id and the stamp of the runner. A corrupted head may still parse as a
-     * success; it is treated as a failed response, which an idempotent request can retry.
+     * Returns whether a response carries the request id and the stamp of the runner. A corrupted head may still parse
+     * as a success; it is treated as a failed response, which an idempotent request can retry.
      */
     private boolean proven(HttpHeaders headers) {
         return headers.contains(dialect.requestId()) && headers.contains(dialect.stamp());
@@ -216,7 +218,8 @@
         answer = null;
         served++;
         idleSinceNanos = clock.nanos();
-        // If the runner responds before the body is fully sent, the rest of the body would be parsed as the next request.
+        // If the runner responds before the body is fully sent, the rest of the body would be parsed as the next
+        // request.
         boolean allWritten = written != null && written.isSuccess();
         if (reusable && keepAlive && allWritten) {
             pool.idle(this);
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnections.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnections.java
@@ -44,7 +44,9 @@
         this.bootstrap = threads.connector(CONNECT_TIMEOUT);
     }
 
-    /** Returns a pooled or new connection; the future fails with {@link StepException} if the runner cannot be reached. */
+    /**
+     * Returns a pooled or new connection; the future fails with {@link StepException} if the runner cannot be reached.
+     */
     CompletableFuture<RunnerConnection> acquire(Runner runner) {
         RunnerConnection kept = takeIdle(runner.life());
         return kept != null ? CompletableFuture.completedFuture(kept) : connect(runner);
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/StrictRequestDecoder.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/StrictRequestDecoder.java
@@ -5,8 +5,8 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * HTTP request decoder that rejects ambiguous framing, such as {@code Content-Length} together with chunked encoding, which
- * permits request smuggling.
+ * HTTP request decoder that rejects ambiguous framing, such as {@code Content-Length} together with chunked encoding,
+ * which permits request smuggling.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
     StrictRequestDecoder(int maxHeaderBytes) {
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TurnRecord.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TurnRecord.java
@@ -24,7 +24,9 @@
     private final String owner;
     private boolean reserved;
 
-    /** Creates a record whose turn and program ids are prefixed with the owner, as other owners may use the same ids. */
+    /**
+     * Creates a record whose turn and program ids are prefixed with the owner, as other owners may use the same ids.
+     */
     TurnRecord(Relay relay, RequestFacts facts, Route route, String owner) {
         this.relay = relay;
         this.facts = facts;
@@ -89,8 +91,8 @@
     }
 
     /**
-     * Settles the reservation of an aborted turn with the tokens of the forwarded events. An unsettled reservation counts in
-     * full against the program's budget until it expires.
+     * Settles the reservation of an aborted turn with the tokens of the forwarded events. An unsettled reservation
+     * counts in full against the program's budget until it expires.
      */
     void brokeOff(int events, String service) {
         if (reserved) {
@@ -102,8 +104,8 @@
     }
 
     /**
-     * Returns the number of tokens in forwarded events. If the service is gone from the manifest, the tokens per event are
-     * unknown; the maximum of the turn is assumed, so that the program cannot exceed its budget.
+     * Returns the number of tokens in forwarded events. If the service is gone from the manifest, the tokens per event
+     * are unknown; the maximum of the turn is assumed, so that the program cannot exceed its budget.
      */
     private int tokensOf(int events, String service) {
         if (events == 0) {
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/BrokenTurnTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/BrokenTurnTest.java
@@ -190,7 +190,9 @@
         assertEquals(countedOf(id), tokens);
     }
 
-    /** The reservation of a turn whose caller disconnects before the first event must not remain charged to the budget. */
+    /**
+     * The reservation of a turn whose caller disconnects before the first event must not remain charged to the budget.
+     */
     @Test
     public void aTurnWhoseCallerLeftBeforeTheFirstEventCostsNothing() throws IOException {
         serve(request -> ScriptedRunner.header(request, "Parsleydrift-Request").equals("q1")
@@ -220,7 +222,10 @@
         awaitCounted("q1", 2 * TOKENS_PER_EVENT);
     }
 
-    /** If the service of a broken stream is gone from the manifest, its tokens are unknown and the full reservation counts. */
+    /**
+     * If the service of a broken stream is gone from the manifest, its tokens are unknown and the full reservation
+     * counts.
+     */
     @Test
     public void eventsOfUnknownSizeLeaveTheReservationAtItsMost() throws IOException {
         serve(request -> STREAM.formatted("q1", 100, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"));
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestMatchTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestMatchTest.java
@@ -57,8 +57,8 @@
     }
 
     /**
-     * The owner prefixes of teams, of open routes and of manifests without teams must not overlap, or a caller could read the
-     * turns of another owner.
+     * The owner prefixes of teams, of open routes and of manifests without teams must not overlap, or a caller could
+     * read the turns of another owner.
      */
     @Test
     public void eachTeamOwnsItsTurnsAlone() {
