--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerConnection.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerConnection.java
@@ -150,7 +150,7 @@
         if (!closing && part instanceof HttpContent content && head != null) {
             ByteBuf bytes = content.content();
             if (body.size() + bytes.readableBytes() > server.limits().maxBodyBytes()) {
-                refuse(413, "body too large");
+                refuse(413, "request body larger than " + server.limits().maxBodyBytes() + " bytes");
                 return;
             }
             byte[] copy = new byte[bytes.readableBytes()];
@@ -176,7 +176,7 @@
                         && request.protocolVersion().equals(HttpVersion.HTTP_1_1));
         boolean oneHost = headers.getAll(HttpHeaderNames.HOST).size() == 1;
         if (!soundEncoding || !oneHost || !request.uri().startsWith("/")) {
-            refuse(400, "ambiguous framing, host or target");
+            refuse(400, "invalid Transfer-Encoding, Host or request target");
             return;
         }
         head = request;
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
@@ -28,7 +28,7 @@
     private static final Logger LOG = System.getLogger(RelayedRequest.class.getName());
     private static final String ANSWERED = "answered";
     private static final String DENIED = "denied";
-    private static final String OVER_ALLOTMENT = "over the team's allotment";
+    private static final String OVER_ALLOTMENT = "team quota exhausted";
 
     private final Relay relay;
     private final CallerRequest request;
@@ -103,7 +103,7 @@
             case AllotmentRuling.Allowed ignored -> queue();
             case AllotmentRuling.Over over -> refuse(429, OVER_ALLOTMENT, over.comeBack());
             case AllotmentRuling.Unsure ignored ->
-                refuse("no peer tells what the team has used", RelayLimits.COME_BACK_ALONE);
+                refuse("no usage reports from peers", RelayLimits.COME_BACK_ALONE);
         }
     }
 
@@ -119,12 +119,12 @@
     /** Ends a queued request whose key was revoked; a manifest that may be outdated does not prove the revocation. */
     private void keyTakenAway() {
         if (tries.mayHaveRun()) {
-            own(502, "unknown", "sent once; its key was taken away");
+            own(502, "unknown", "an earlier attempt may have run; key revoked");
         } else if (relay.registry().manifestCurrent()) {
             claim.giveBack();
             own(401, DENIED, "key_taken_away");
         } else {
-            refuse("key gone from a manifest that may be old", RelayLimits.COME_BACK_MANIFEST);
+            refuse("key missing in a manifest that may be outdated", RelayLimits.COME_BACK_MANIFEST);
         }
     }
 
@@ -139,7 +139,7 @@
         long most = Math.min((long) (left * RelayLimits.START_SHARE), RelayLimits.START_WAIT.toMillis());
         startTimer = relay.loop().schedule(Duration.ofMillis(most), () -> {
             if (starting()) {
-                refuse("no manifest known yet", RelayLimits.COME_BACK_START);
+                refuse("no manifest received yet", RelayLimits.COME_BACK_START);
             }
         });
         relay.awaitManifest(this);
@@ -265,7 +265,7 @@
             queue();
         } else if (tries.mayHaveRun()) {
             // "Not executed" by this runner says nothing about an earlier one, which may have run the request.
-            own(502, "unknown", "sent once; " + reason);
+            own(502, "unknown", "an earlier attempt may have run; " + reason);
         } else {
             refuse(reason, RelayLimits.COME_BACK_FULL);
         }
@@ -277,7 +277,7 @@
                 && relay.dispatcher().retries(service).take()) {
             offered.cancel();
             relay.dispatcher().health(runner.life()).broken(relay.loop().clock().nanos());
-            sendAgain(runner, "silent for longer than the route's target");
+            sendAgain(runner, "no response within the route's target latency");
         }
     }
 
@@ -381,7 +381,7 @@
             case BeginResult.Spent ignored -> own(402, DENIED, "budget_spent");
             case BeginResult.NoSuchTurn ignored -> own(404, DENIED, "no_such_turn");
             case BeginResult.Unavailable unavailable ->
-                refuse("stores: " + unavailable.reason(), RelayLimits.COME_BACK_STORES);
+                refuse("store VMs unavailable: " + unavailable.reason(), RelayLimits.COME_BACK_STORES);
         }
     }
 
@@ -398,9 +398,9 @@
     private void waitedTooLong() {
         if (stage == RequestStage.WAITING && relay.dispatcher().withdraw(this)) {
             if (tries.mayHaveRun()) {
-                own(502, "unknown", "sent once; no other runner had room");
+                own(502, "unknown", "an earlier attempt may have run; no other runner had a free slot");
             } else {
-                refuse("no runner had room", RelayLimits.COME_BACK_FULL);
+                refuse("no runner had a free slot", RelayLimits.COME_BACK_FULL);
             }
         }
     }
@@ -408,13 +408,13 @@
     private void timedOut() {
         switch (stage) {
             case ENDED, STARTING, MATCHED -> {}
-            case BEGINNING -> refuse("time over before the turn began", RelayLimits.COME_BACK_STORES);
+            case BEGINNING -> refuse("deadline passed before the turn began", RelayLimits.COME_BACK_STORES);
             case WAITING -> {
                 relay.dispatcher().withdraw(this);
                 if (tries.mayHaveRun()) {
                     own(504, "timeout", "after an unknown try");
                 } else {
-                    refuse("time over while waiting", RelayLimits.COME_BACK_FULL);
+                    refuse("deadline passed while waiting for a runner", RelayLimits.COME_BACK_FULL);
                 }
             }
             case OFFERED -> {
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestMatch.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestMatch.java
@@ -48,7 +48,7 @@
             RoutingManifest manifest, boolean current, CallerRequest request, boolean readable, RelayDialect dialect) {
         Optional<Route> route = manifest.match(request.host(), request.target());
         if (route.isEmpty()) {
-            return current ? new Denied(404, "no_route") : new Unsure("no route in a manifest that may be old");
+            return current ? new Denied(404, "no_route") : new Unsure("no matching route in a manifest that may be outdated");
         }
         List<String> keys = request.headers().getAll(dialect.key());
         if (!readable || keys.size() > 1) {
@@ -64,7 +64,7 @@
         if (team.isPresent()) {
             return new Found(route.get(), team, owner(team.get().name()));
         }
-        return current ? new Denied(401, "unknown_key") : new Unsure("unknown key in a manifest that may be old");
+        return current ? new Denied(401, "unknown_key") : new Unsure("unknown key in a manifest that may be outdated");
     }
 
     /**
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnection.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnection.java
@@ -166,7 +166,7 @@
         }
         if (status < 300 && !proven(response.headers())) {
             reusable = false;
-            fail("a success without the request's id or the runner's stamp");
+            fail("success response without request id or stamp");
             close();
             return;
         }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnections.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnections.java
@@ -117,7 +117,7 @@
                         connected.completeExceptionally(new StepException(
                                 Step.PLACE,
                                 runner.address(),
-                                "no connection: " + done.cause().getMessage()));
+                                "connection failed: " + done.cause().getMessage()));
                     }
                 });
         return connected;
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerExchange.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerExchange.java
@@ -65,13 +65,13 @@
         if (failure != null) {
             relay.dispatcher().health(runner.life()).unreachable(now());
             release();
-            request.notRun(runner, "no connection");
+            request.notRun(runner, "connection to runner failed");
             return;
         }
         if (!relay.registry().usable(runner)) {
             relay.connections().idle(acquired);
             release();
-            request.notRun(runner, "runner left meanwhile");
+            request.notRun(runner, "runner no longer accepts requests");
             return;
         }
         connection = acquired;
@@ -97,7 +97,7 @@
             held.writeBytes(bytes);
             if (held.size() > RelayLimits.MOST_HELD_BYTES) {
                 connection.cancel();
-                broken(true, "answer too large");
+                broken(true, "response larger than " + RelayLimits.MOST_HELD_BYTES + " bytes");
             }
             return;
         }
@@ -147,7 +147,7 @@
     private void deliver() {
         boolean notExecuted = headers.contains(relay.dialect().notExecuted()) || status == MISDIRECTED;
         if (notExecuted) {
-            request.notRun(runner, "runner says not executed, status " + status);
+            request.notRun(runner, "runner reported not executed, status " + status);
             return;
         }
         relay.dispatcher().health(runner.life()).answered();
@@ -159,7 +159,7 @@
             }
         } else if (promisesNotRun()) {
             // Callers take these statuses as "not run", which the runner has not confirmed.
-            request.unknown(runner, "runner's status " + status);
+            request.unknown(runner, "runner did not confirm that the request was not executed, status " + status);
         } else {
             request.answered(runner, status, headers, held.toByteArray());
         }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/StrictRequestDecoder.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/StrictRequestDecoder.java
@@ -18,6 +18,6 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw new IllegalArgumentException("both a length and chunks");
+        throw new IllegalArgumentException("request has both Content-Length and chunked Transfer-Encoding");
     }
 }
