--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
@@ -102,8 +102,7 @@
         switch (claim.ask(underWay(), !facts.program().isEmpty())) {
             case AllotmentRuling.Allowed ignored -> queue();
             case AllotmentRuling.Over over -> refuse(429, OVER_ALLOTMENT, over.comeBack());
-            case AllotmentRuling.Unsure ignored ->
-                refuse("no usage reports from peers", RelayLimits.COME_BACK_ALONE);
+            case AllotmentRuling.Unsure ignored -> refuse("no usage reports from peers", RelayLimits.COME_BACK_ALONE);
         }
     }
 
@@ -372,13 +371,13 @@
         switch (result) {
             case BeginResult.Granted grantedTurn -> {
                 heard = grantedTurn.settled().stream()
-                        .map(each -> new HeldPart(each.runner(), each.part(), each.partTokens()))
+                        .map(each -> new HeldPart(each.runner(), each.promptPart(), each.cachedTokens()))
                         .toList();
                 chained = !grantedTurn.chain().isEmpty();
                 body = ChainText.assemble(grantedTurn.chain(), request.body());
                 admit();
             }
-            case BeginResult.Spent ignored -> own(402, DENIED, "budget_spent");
+            case BeginResult.BudgetSpent ignored -> own(402, DENIED, "budget_spent");
             case BeginResult.NoSuchTurn ignored -> own(404, DENIED, "no_such_turn");
             case BeginResult.Unavailable unavailable ->
                 refuse("store VMs unavailable: " + unavailable.reason(), RelayLimits.COME_BACK_STORES);
