--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/AllotmentRule.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/AllotmentRule.java
@@ -1,7 +1,7 @@
 package org.parsleydrift.placement;
 
 import java.time.Duration;
-import org.parsleydrift.registry.Allotment;
+import org.parsleydrift.registry.Quota;
 
 /**
  * Limits that a team's quota sets on the requests in a sliding window. Nodes learn of each other's admissions with a
@@ -27,8 +27,8 @@
      * Returns the limit for the recent half of the window, in requests. It bounds bursts, and lets a fleet that has
      * lost all its counts continue at the nominal rate.
      */
-    double late(Allotment allotment) {
-        return allotment.most(seconds() / 2) + slack;
+    double late(Quota allotment) {
+        return allotment.maxRequests(seconds() / 2) + slack;
     }
 
     /**
@@ -38,7 +38,7 @@
      * @param allotment the team's quota
      * @param unseen share of the window that precedes the start of nodes, 0 to 1
      */
-    double whole(Allotment allotment, double unseen) {
+    double whole(Quota allotment, double unseen) {
         double above = allotment.burst() + SLACK_GIVEN_OUT * slack;
         return allotment.ratePerSecond() * seconds() * (1 - unseen) + above * known(unseen);
     }
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/AllotmentFleet.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/AllotmentFleet.java
@@ -11,7 +11,7 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.stream.IntStream;
-import org.parsleydrift.registry.Allotment;
+import org.parsleydrift.registry.Quota;
 import org.parsleydrift.registry.Team;
 
 /**
@@ -76,7 +76,7 @@
     }
 
     AllotmentFleet(int nodeCount, double rate, long seed) {
-        team = new Team("t", OptionalInt.empty(), new Allotment(rate, rate));
+        team = new Team("t", OptionalInt.empty(), new Quota(rate, rate));
         random = new Random(seed);
         nodes = new Node[nodeCount];
         // Runs for longer than the window, so that no part of it is unobserved when the traffic starts.
@@ -116,7 +116,7 @@
 
     /** Returns the maximum number of requests in any window that the quota tolerates. */
     double bound() {
-        return team.allotment().most(WINDOW.toMillis() / 1000.0) * 1.1 + 20;
+        return team.quota().maxRequests(WINDOW.toMillis() / 1000.0) * 1.1 + 20;
     }
 
     private void ask(Ask ask) {
@@ -149,7 +149,7 @@
     private boolean belowLimit(Ask ask) {
         dropOld(ran);
         dropOld(begun);
-        double most = team.allotment().most(WINDOW.toMillis() / 1000.0);
+        double most = team.quota().maxRequests(WINDOW.toMillis() / 1000.0);
         boolean programs = ask.step > 0 || (begun.size() + 1) * PROGRAM_REQUESTS <= most;
         return programs && ran.size() + 1 <= most;
     }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestFacts.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestFacts.java
@@ -41,7 +41,7 @@
      * budget.
      */
     boolean turnOn(Route route) {
-        return route.streaming() && (route.keepsConversation() || (budget.isPresent() && !program.isEmpty()));
+        return route.isStreaming() && (route.stateful() || (budget.isPresent() && !program.isEmpty()));
     }
 
     /** Returns the total length of the prompt, tokens. */
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestMatch.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestMatch.java
@@ -48,7 +48,9 @@
             RoutingManifest manifest, boolean current, CallerRequest request, boolean readable, RelayDialect dialect) {
         Optional<Route> route = manifest.match(request.host(), request.target());
         if (route.isEmpty()) {
-            return current ? new Denied(404, "no_route") : new Unsure("no matching route in a manifest that may be outdated");
+            return current
+                    ? new Denied(404, "no_route")
+                    : new Unsure("no matching route in a manifest that may be outdated");
         }
         List<String> keys = request.headers().getAll(dialect.key());
         if (!readable || keys.size() > 1) {
@@ -57,7 +59,7 @@
         if (manifest.teams().isEmpty()) {
             return new Found(route.get(), Optional.empty(), "");
         }
-        if (route.get().open()) {
+        if (route.get().anonymousAllowed()) {
             return new Found(route.get(), Optional.empty(), owner(""));
         }
         Optional<Team> team = holder(manifest.teams().get(), keys);
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnections.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnections.java
@@ -48,7 +48,7 @@
      * Returns a pooled or new connection; the future fails with {@link StepException} if the runner cannot be reached.
      */
     CompletableFuture<RunnerConnection> acquire(Runner runner) {
-        RunnerConnection kept = takeIdle(runner.life());
+        RunnerConnection kept = takeIdle(runner.incarnation());
         return kept != null ? CompletableFuture.completedFuture(kept) : connect(runner);
     }
 
@@ -93,7 +93,7 @@
 
     private CompletableFuture<RunnerConnection> connect(Runner runner) {
         CompletableFuture<RunnerConnection> connected = new CompletableFuture<>();
-        RunnerConnection connection = new RunnerConnection(this, runner.life(), dialect, loop.clock());
+        RunnerConnection connection = new RunnerConnection(this, runner.incarnation(), dialect, loop.clock());
         int colon = runner.address().lastIndexOf(':');
         var address = new InetSocketAddress(
                 runner.address().substring(0, colon),
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Tries.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Tries.java
@@ -52,6 +52,6 @@
 
     /** Returns whether one of the given runners has not been tried yet. */
     boolean anyLeft(List<Runner> runners) {
-        return runners.stream().anyMatch(each -> !avoided.contains(each.life()));
+        return runners.stream().anyMatch(each -> !avoided.contains(each.incarnation()));
     }
 }
