--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/HeldPart.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/CachedPart.java
@@ -7,4 +7,4 @@
  * @param part id of the prompt part
  * @param tokens number of its tokens that are cached
  */
-public record HeldPart(String runner, String part, int tokens) {}
+public record CachedPart(String runner, String part, int tokens) {}
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Candidate.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Candidate.java
@@ -8,12 +8,12 @@
  * @param runner the runner
  * @param load requests of this node and, by their last reports, of its peers at the runner
  * @param suspended whether the runner is in backoff after failures
- * @param near whether the runner is in this node's availability zone
- * @param missingTokens tokens of the request's prompt that the runner has not cached; 0 without a prompt
+ * @param sameZone whether the runner is in this node's availability zone
+ * @param uncachedTokens tokens of the request's prompt that the runner has not cached; 0 without a prompt
  */
-public record Candidate(Runner runner, int load, boolean suspended, boolean near, int missingTokens) {
+public record Candidate(Runner runner, int load, boolean suspended, boolean sameZone, int uncachedTokens) {
     /** Returns the maximum load, in requests; with prompts it exceeds the slots, so that a freed slot is refilled. */
-    int most(boolean prompted) {
+    int maxLoad(boolean prompted) {
         return runner.slots() + (prompted ? Math.max(1, runner.slots() / RunnerChoice.QUEUED_SHARE) : 0);
     }
 }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PromptMemory.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PromptCacheIndex.java
@@ -13,9 +13,10 @@
  *
  * <p>Not thread-safe; confined to one event loop.
  */
-public final class PromptMemory {
+public final class PromptCacheIndex {
     /** Time after its last use at which a part is assumed to be evicted by the runner, ns. */
     private static final long KEPT_NANOS = 6_000_000_000L;
+
     private static final int MOST_PARTS = 1024;
 
     private final Map<String, Map<String, Sent>> byRunner = new HashMap<>();
@@ -29,7 +30,7 @@
      * @param prompt parts of the prompt in order
      * @param nowNanos monotonic time, ns
      */
-    public void sent(String runner, List<PromptPart> prompt, long nowNanos) {
+    public void recordSent(String runner, List<PromptPart> prompt, long nowNanos) {
         Map<String, Sent> parts = byRunner.computeIfAbsent(runner, any -> new RecentParts());
         prompt.forEach(each -> parts.put(each.id(), new Sent(each.tokens(), nowNanos)));
     }
@@ -39,7 +40,7 @@
      *
      * @param lives ids of the incarnations to retain
      */
-    public void keepOnly(Set<String> lives) {
+    public void retainRunners(Set<String> lives) {
         byRunner.keySet().retainAll(lives);
     }
 
@@ -53,7 +54,7 @@
      * @param nowNanos monotonic time, ns
      * @return uncached tokens, from 0 to the length of the prompt
      */
-    public int missing(String runner, List<PromptPart> prompt, List<HeldPart> heard, long nowNanos) {
+    public int uncachedTokens(String runner, List<PromptPart> prompt, List<CachedPart> heard, long nowNanos) {
         Map<String, Sent> parts = byRunner.getOrDefault(runner, Map.of());
         int total = prompt.stream().mapToInt(PromptPart::tokens).sum();
         int after = 0;
@@ -71,10 +72,10 @@
         return sent != null && nowNanos - sent.atNanos() < KEPT_NANOS ? sent.tokens() : 0;
     }
 
-    private static int heard(String runner, PromptPart part, List<HeldPart> heard) {
+    private static int heard(String runner, PromptPart part, List<CachedPart> heard) {
         return heard.stream()
                 .filter(each -> each.part().equals(part.id()) && each.runner().equals(runner))
-                .mapToInt(HeldPart::tokens)
+                .mapToInt(CachedPart::tokens)
                 .max()
                 .orElse(0);
     }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/AllotmentRule.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/QuotaPolicy.java
@@ -8,9 +8,9 @@
  * delay, so a fleet may exceed the nominal limit by a tolerance; the limits computed here use part of it.
  *
  * @param window length of the sliding window
- * @param slack requests above the quota that are tolerated in one window
+ * @param tolerance requests above the quota that are tolerated in one window
  */
-public record AllotmentRule(Duration window, double slack) {
+public record QuotaPolicy(Duration window, double tolerance) {
     /**
      * Share of the tolerance added to the limit, so that unreported requests do not cost a small team part of its
      * quota.
@@ -28,7 +28,7 @@
      * lost all its counts continue at the nominal rate.
      */
     double late(Quota allotment) {
-        return allotment.maxRequests(seconds() / 2) + slack;
+        return allotment.maxRequests(seconds() / 2) + tolerance;
     }
 
     /**
@@ -39,13 +39,13 @@
      * @param unseen share of the window that precedes the start of nodes, 0 to 1
      */
     double whole(Quota allotment, double unseen) {
-        double above = allotment.burst() + SLACK_GIVEN_OUT * slack;
+        double above = allotment.burst() + SLACK_GIVEN_OUT * tolerance;
         return allotment.ratePerSecond() * seconds() * (1 - unseen) + above * known(unseen);
     }
 
     /** Returns the requests by which unreported admissions may exceed the limit; 0 if much is unobserved. */
     double unheard(double unseen) {
-        return SLACK_FOR_UNHEARD * slack * known(unseen);
+        return SLACK_FOR_UNHEARD * tolerance * known(unseen);
     }
 
     /** Returns whether enough of the window is observed to admit requests without random selection. */
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Allotments.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/QuotaTracker.java
@@ -22,7 +22,7 @@
  *
  * <p>Not thread-safe; confined to one event loop.
  */
-public final class Allotments {
+public final class QuotaTracker {
     /** Time over which the remaining quota is granted under excess demand, s; several times the reporting delay. */
     private static final double SPREAD_SECONDS = 1.2;
     /** Share of the demand window whose demand at peers is not reported yet. */
@@ -38,7 +38,7 @@
 
     private final LongSupplier nanos;
     private final RandomGenerator random;
-    private final AllotmentRule rule;
+    private final QuotaPolicy rule;
     private final BooleanSupplier hearsPeers;
     private final long startNanos;
     private final Map<String, TeamCounts> own = new HashMap<>();
@@ -53,7 +53,7 @@
      * @param rule window and tolerance of the quotas
      * @param hearsPeers returns true if reports of peers arrive, or if this node is known to be the only one
      */
-    public Allotments(LongSupplier nanos, RandomGenerator random, AllotmentRule rule, BooleanSupplier hearsPeers) {
+    public QuotaTracker(LongSupplier nanos, RandomGenerator random, QuotaPolicy rule, BooleanSupplier hearsPeers) {
         this.nanos = nanos;
         this.random = random;
         this.rule = rule;
@@ -67,7 +67,7 @@
      *
      * @param reports latest reports by node or zone; a report with 0 nodes for a reporter that is gone
      */
-    public void peers(Map<String, UseReport> reports) {
+    public void updatePeers(Map<String, UsageReport> reports) {
         peers.tell(reports, nanos.getAsLong());
     }
 
@@ -76,7 +76,7 @@
      *
      * @param tellers names of nodes or zones
      */
-    public void movedFrom(Set<String> tellers) {
+    public void forgetReporters(Set<String> tellers) {
         peers.movedFrom(tellers);
     }
 
@@ -85,13 +85,13 @@
      *
      * @return the usage report of this node alone
      */
-    public UseReport report() {
-        Map<String, TeamUse> uses = own.entrySet().stream()
+    public UsageReport report() {
+        Map<String, TeamUsage> uses = own.entrySet().stream()
                 .collect(Collectors.toMap(
                         Map.Entry::getKey, each -> each.getValue().use()));
-        uses.values().removeIf(TeamUse::isNone);
+        uses.values().removeIf(TeamUsage::isNone);
         own.keySet().retainAll(uses.keySet());
-        return new UseReport(1, unseenMillis(), uses);
+        return new UsageReport(1, unseenMillis(), uses);
     }
 
     /**
@@ -100,8 +100,8 @@
      * @param team the team
      * @return true if the quota is exhausted; false for a team without a quota
      */
-    public boolean full(Team team) {
-        return team.quota().isLimited() && free(team, use(team).ran()) < 1;
+    public boolean isExhausted(Team team) {
+        return team.quota().isLimited() && free(team, use(team).sent()) < 1;
     }
 
     /**
@@ -110,9 +110,9 @@
      * @param team the team of the request
      * @return the delay without jitter
      */
-    public Duration comeBack(Team team) {
+    public Duration retryAfter(Team team) {
         double over = Math.max(
-                1, perSecond(use(team).asked()) / Math.max(1, team.quota().ratePerSecond()));
+                1, perSecond(use(team).newDemand()) / Math.max(1, team.quota().ratePerSecond()));
         long millis = (long) (COME_BACK.toMillis() * over);
         return Duration.ofMillis(Math.min(COME_BACK_MOST.toMillis(), millis));
     }
@@ -125,14 +125,14 @@
      * @param ofProgram whether the request belongs to a program, which needs further requests
      * @return the decision
      */
-    public AllotmentRuling ask(Team team, boolean underWay, boolean ofProgram) {
+    public QuotaDecision acquire(Team team, boolean underWay, boolean ofProgram) {
         boolean begins = !underWay && ofProgram;
         if (!team.quota().isLimited()) {
             need.let(begins);
-            return AllotmentRuling.UNLIMITED;
+            return QuotaDecision.UNLIMITED;
         }
         if (!hearsPeers.getAsBoolean()) {
-            return new AllotmentRuling.Unsure();
+            return new QuotaDecision.Undetermined();
         }
         TeamCounts counts = own.computeIfAbsent(team.name(), any -> new TeamCounts(nanos, rule.window()));
         int needed = begins ? need.requests() : 1;
@@ -141,9 +141,9 @@
         } else {
             counts.asked(needed);
         }
-        boolean passes = !full(team) && (underWay ? maySpend(team) : mayBegin(team));
+        boolean passes = !isExhausted(team) && (underWay ? maySpend(team) : mayBegin(team));
         if (!passes) {
-            return new AllotmentRuling.Over(comeBack(team));
+            return new QuotaDecision.Exceeded(retryAfter(team));
         }
         need.let(begins);
         if (!underWay) {
@@ -151,20 +151,24 @@
         }
         long now = nanos.getAsLong();
         counts.ran(now, 1);
-        return new AllotmentRuling.Allowed(Optional.of(new AllottedPlace(counts, now)));
+        return new QuotaDecision.Allowed(Optional.of(new QuotaCharge(counts, now)));
     }
 
     private boolean maySpend(Team team) {
-        TeamUse use = use(team);
+        TeamUsage use = use(team);
         return drawn(
-                free(team, use.ran()), use.ran(), use.pressed(), others(team).pressed());
+                free(team, use.sent()),
+                use.sent(),
+                use.inProgressDemand(),
+                others(team).inProgressDemand());
     }
 
     /** Decides on the first request of a program, or on a request outside any program. */
     private boolean mayBegin(Team team) {
-        TeamUse use = use(team);
+        TeamUsage use = use(team);
         double free = free(team, use.planned());
-        return free > 0 && drawn(free, use.planned(), use.asked(), others(team).asked());
+        return free > 0
+                && drawn(free, use.planned(), use.newDemand(), others(team).newDemand());
     }
 
     /**
@@ -172,13 +176,13 @@
      * all nodes see the same remaining quota and would otherwise claim it at the same time. Demand that peers have not
      * reported yet is estimated from their last reports.
      */
-    private boolean drawn(double free, Windowed taken, int asking, int askingOthers) {
+    private boolean drawn(double free, WindowCounts taken, int asking, int askingOthers) {
         double leavingPerSecond = LEAVING_SHARE
-                * taken.leaving()
-                / (Windowed.LEAVING_PART * rule.window().toMillis() / 1000.0);
+                * taken.expiring()
+                / (WindowCounts.LEAVING_PART * rule.window().toMillis() / 1000.0);
         double unseen = unseenShare();
         boolean allMayPass =
-                AllotmentRule.wellKnown(unseen) && asking + UNHEARD_SHARE * askingOthers <= free + rule.unheard(unseen);
+                QuotaPolicy.wellKnown(unseen) && asking + UNHEARD_SHARE * askingOthers <= free + rule.unheard(unseen);
         return allMayPass || random.nextDouble() * perSecond(asking) < free / SPREAD_SECONDS + leavingPerSecond;
     }
 
@@ -186,23 +190,23 @@
         return asking * 1000.0 / TeamCounts.ASKED_SPAN.toMillis();
     }
 
-    private TeamUse use(Team team) {
+    private TeamUsage use(Team team) {
         TeamCounts counts = own.get(team.name());
         return counts == null ? others(team) : others(team).plus(counts.use());
     }
 
-    private TeamUse others(Team team) {
+    private TeamUsage others(Team team) {
         return peers.total().of(team.name());
     }
 
-    private double free(Team team, Windowed taken) {
-        double late = rule.late(team.quota()) - taken.late();
-        double whole = rule.whole(team.quota(), unseenShare()) - taken.whole();
+    private double free(Team team, WindowCounts taken) {
+        double late = rule.late(team.quota()) - taken.recent();
+        double whole = rule.whole(team.quota(), unseenShare()) - taken.total();
         return Math.min(late, whole);
     }
 
     private double unseenShare() {
-        int unseen = peers.total().unseenMillis() + unseenMillis();
+        int unseen = peers.total().unobservedMillis() + unseenMillis();
         double spanMillis = (double) rule.window().toMillis() * (peers.total().nodes() + 1);
         return Math.min(1, unseen / spanMillis);
     }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RetryBudget.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RetryBudget.java
@@ -13,7 +13,7 @@
     private double inHand = RESERVE;
 
     /** Credits the budget for a request that is sent to its first runner. */
-    public void firstTry() {
+    public void recordFirstAttempt() {
         inHand = Math.min(RESERVE, inHand + SHARE);
     }
 
@@ -22,7 +22,7 @@
      *
      * @return whether the request may be retried
      */
-    public boolean take() {
+    public boolean tryAcquire() {
         boolean granted = inHand >= 1;
         if (granted) {
             inHand--;
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerHealth.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerHealth.java
@@ -18,7 +18,7 @@
     private boolean resting;
 
     /** Resets the state after a complete response. */
-    public void answered() {
+    public void recordSuccess() {
         failures = 0;
         brokenAnswers = 0;
         resting = false;
@@ -29,7 +29,7 @@
      *
      * @param nowNanos monotonic time, ns
      */
-    public void unreachable(long nowNanos) {
+    public void recordConnectFailure(long nowNanos) {
         rest(nowNanos);
     }
 
@@ -38,7 +38,7 @@
      *
      * @param nowNanos monotonic time, ns
      */
-    public void broken(long nowNanos) {
+    public void recordBrokenResponse(long nowNanos) {
         brokenAnswers++;
         if (brokenAnswers > BROKEN_ANSWERS_BORNE) {
             rest(nowNanos);
@@ -51,7 +51,7 @@
      * @param nowNanos monotonic time, ns
      * @return true until the backoff ends
      */
-    public boolean suspended(long nowNanos) {
+    public boolean isSuspended(long nowNanos) {
         return resting && restUntilNanos - nowNanos > 0;
     }
 
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/SlidingCount.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/SlidingCount.java
@@ -11,7 +11,7 @@
 final class SlidingCount {
     private static final int SLOTS = 50;
     /** Age, in slots, from which on a slot counts as expiring. */
-    private static final int OLD_SLOTS = SLOTS - (int) (SLOTS * Windowed.LEAVING_PART);
+    private static final int OLD_SLOTS = SLOTS - (int) (SLOTS * WindowCounts.LEAVING_PART);
 
     private final long slotNanos;
     private final int[] counts = new int[SLOTS + 1];
@@ -39,11 +39,12 @@
         return sum;
     }
 
-    Windowed windowed(long nowNanos) {
+    WindowCounts windowed(long nowNanos) {
         int whole = sum(nowNanos);
         return whole == 0
-                ? Windowed.NONE
-                : new Windowed(whole, between(newest - SLOTS / 2, newest), between(newest - SLOTS, newest - OLD_SLOTS));
+                ? WindowCounts.NONE
+                : new WindowCounts(
+                        whole, between(newest - SLOTS / 2, newest), between(newest - SLOTS, newest - OLD_SLOTS));
     }
 
     private int between(long first, long last) {
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerServer.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerServer.java
@@ -71,7 +71,7 @@
     }
 
     /** Stops listening and closes the connections that are between requests. */
-    public void closeIdle() {
+    public void closeIdleConnections() {
         listener.close();
         List.copyOf(connections).forEach(CallerConnection::closeIfIdle);
     }
@@ -81,7 +81,7 @@
      *
      * @return number of connections
      */
-    public int connections() {
+    public int openConnections() {
         return connections.size();
     }
 
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Dispatcher.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Dispatcher.java
@@ -11,7 +11,7 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
 import org.parsleydrift.placement.Candidate;
-import org.parsleydrift.placement.PromptMemory;
+import org.parsleydrift.placement.PromptCacheIndex;
 import org.parsleydrift.placement.RetryBudget;
 import org.parsleydrift.placement.RunnerChoice;
 import org.parsleydrift.placement.RunnerHealth;
@@ -49,7 +49,7 @@
     private final Map<String, RunnerHealth> health = new HashMap<>();
     private final Map<String, RetryBudget> retries = new HashMap<>();
     private final Map<String, Double> usualMissing = new HashMap<>();
-    private final PromptMemory prompts = new PromptMemory();
+    private final PromptCacheIndex prompts = new PromptCacheIndex();
     private long arrivals;
 
     /**
@@ -81,7 +81,7 @@
      *
      * @return number of requests
      */
-    public int fleetLoad() {
+    public int totalLoad() {
         return Stream.concat(ownLoad.values().stream(), peerTotal.values().stream())
                 .mapToInt(Integer::intValue)
                 .sum();
@@ -93,7 +93,7 @@
      * @param loads requests by {@link RunnerKey} of the runner's incarnation, for each node or zone; empty for one that
      *     is gone
      */
-    public void peerLoads(Map<String, Map<Long, Integer>> loads) {
+    public void updatePeerLoads(Map<String, Map<Long, Integer>> loads) {
         loads.forEach((node, load) -> {
             Map<Long, Integer> former = peerLoad.put(node, Map.copyOf(load));
             if (former != null) {
@@ -109,14 +109,14 @@
      *
      * @return number of requests
      */
-    public int waiting() {
+    public int queueLength() {
         return waiting.size();
     }
 
     /** Drops the state of runners that are gone and assigns queued requests to new ones. */
     void runnersChanged() {
         Set<String> lives = registry.incarnations();
-        prompts.keepOnly(lives);
+        prompts.retainRunners(lives);
         health.keySet().retainAll(lives);
         keys.keySet().retainAll(lives);
         dispatch();
@@ -189,8 +189,8 @@
         String life = chosen.runner().incarnation();
         ownLoad.merge(life, 1, Integer::sum);
         if (!waiter.prompt().isEmpty()) {
-            prompts.sent(life, waiter.prompt(), now);
-            double learned = usual + USUAL_WEIGHT * (chosen.missingTokens() - usual);
+            prompts.recordSent(life, waiter.prompt(), now);
+            double learned = usual + USUAL_WEIGHT * (chosen.uncachedTokens() - usual);
             usualMissing.put(waiter.service(), Math.max(1, learned));
         }
         waiter.offered(chosen);
@@ -205,9 +205,9 @@
         return new Candidate(
                 runner,
                 ownLoad.getOrDefault(runner.incarnation(), 0) + peerTotal.getOrDefault(key(runner.incarnation()), 0),
-                known != null && known.suspended(now),
+                known != null && known.isSuspended(now),
                 runner.zone().equals(zone),
-                prompts.missing(runner.incarnation(), waiter.prompt(), waiter.heard(), now));
+                prompts.uncachedTokens(runner.incarnation(), waiter.prompt(), waiter.heard(), now));
     }
 
     private record Entry(Waiter waiter, long arrival) {}
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/ForwardedHeaders.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/ForwardedHeaders.java
@@ -30,8 +30,8 @@
     private ForwardedHeaders() {}
 
     /** Returns the headers to forward to a runner, without those that callers must not set. */
-    static HttpHeaders toRunner(HttpHeaders headers, RelayDialect dialect) {
-        return copy(headers, dialect.systemOnly());
+    static HttpHeaders toRunner(HttpHeaders headers, HeaderNames dialect) {
+        return copy(headers, dialect.reserved());
     }
 
     /** Returns the headers to forward to a caller. */
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayDialect.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/HeaderNames.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 
 /**
- * Names of the HTTP headers that the relay reads and sets. {@link #own} returns the native names; an adapter supplies
+ * Names of the HTTP headers that the relay reads and sets. {@link #defaults} returns the native names; an adapter supplies
  * those of another interface.
  *
  * @param requestId id of one attempt of a caller
@@ -20,9 +20,9 @@
  * @param promptParts parts of the prompt in order, each "ID:TOKENS", separated by commas
  * @param key API key of the caller
  * @param team name of the team that owns the key; sent to runners
- * @param systemOnly names, in lower case, of the headers that are not forwarded from callers to runners
+ * @param reserved names, in lower case, of the headers that are not forwarded from callers to runners
  */
-public record RelayDialect(
+public record HeaderNames(
         String requestId,
         String deadlineMillis,
         String expectInstance,
@@ -37,10 +37,10 @@
         String promptParts,
         String key,
         String team,
-        Set<String> systemOnly) {
+        Set<String> reserved) {
     /** Copies the set. */
-    public RelayDialect {
-        systemOnly = Set.copyOf(systemOnly);
+    public HeaderNames {
+        reserved = Set.copyOf(reserved);
     }
 
     /**
@@ -48,8 +48,8 @@
      *
      * @return names with the prefix {@code Parsleydrift-}
      */
-    public static RelayDialect own() {
-        return new RelayDialect(
+    public static HeaderNames defaults() {
+        return new HeaderNames(
                 "Parsleydrift-Request",
                 "Parsleydrift-Deadline-Ms",
                 "Parsleydrift-Expect-Runner",
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestFacts.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestFacts.java
@@ -54,7 +54,7 @@
      *
      * @return the parameters; empty if the request id is missing or a number is malformed
      */
-    static Optional<RequestFacts> read(HttpHeaders headers, RelayDialect dialect) {
+    static Optional<RequestFacts> read(HttpHeaders headers, HeaderNames dialect) {
         String id = headers.get(dialect.requestId());
         if (id == null || id.isBlank()) {
             return Optional.empty();
@@ -79,7 +79,7 @@
      * Parses the prompt parts. They only affect placement, so a malformed header is treated as absent. Without parts,
      * the prompt of a turn counts as one part that the turns of its program share.
      */
-    private static List<PromptPart> prompt(HttpHeaders headers, RelayDialect dialect) {
+    private static List<PromptPart> prompt(HttpHeaders headers, HeaderNames dialect) {
         String[] parts = COMMA.split(headers.get(dialect.promptParts(), ""), -1);
         if (Arrays.stream(parts).allMatch(PART.asMatchPredicate())) {
             return Arrays.stream(parts).map(RequestFacts::part).toList();
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestMatch.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestMatch.java
@@ -45,7 +45,7 @@
      * @return the result
      */
     static RequestMatch of(
-            RoutingManifest manifest, boolean current, CallerRequest request, boolean readable, RelayDialect dialect) {
+            RoutingManifest manifest, boolean current, CallerRequest request, boolean readable, HeaderNames dialect) {
         Optional<Route> route = manifest.match(request.host(), request.target());
         if (route.isEmpty()) {
             return current
@@ -77,7 +77,7 @@
      * @param dialect names of the headers
      * @return the team; empty if there is no key or no team owns it
      */
-    static Optional<Team> holder(RoutingManifest manifest, CallerRequest request, RelayDialect dialect) {
+    static Optional<Team> holder(RoutingManifest manifest, CallerRequest request, HeaderNames dialect) {
         return manifest.teams().flatMap(teams -> holder(teams, request.headers().getAll(dialect.key())));
     }
 
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TeamClaim.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TeamClaim.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 import java.util.Optional;
 import java.util.OptionalInt;
-import org.parsleydrift.placement.AllotmentRuling;
-import org.parsleydrift.placement.Allotments;
-import org.parsleydrift.placement.AllottedPlace;
+import org.parsleydrift.placement.QuotaCharge;
+import org.parsleydrift.placement.QuotaDecision;
+import org.parsleydrift.placement.QuotaTracker;
 import org.parsleydrift.registry.Registry;
 import org.parsleydrift.registry.Route;
 import org.parsleydrift.registry.Team;
@@ -13,12 +13,12 @@
 /** The team of a request and the charge against its quota. Requests without a team are not limited. */
 final class TeamClaim {
     private final Registry registry;
-    private final Allotments allotments;
+    private final QuotaTracker allotments;
     private final CallerRequest request;
-    private final RelayDialect dialect;
+    private final HeaderNames dialect;
     private final Optional<Team> team;
     private final String owner;
-    private Optional<AllottedPlace> place = Optional.empty();
+    private Optional<QuotaCharge> place = Optional.empty();
 
     TeamClaim(Relay relay, CallerRequest request, Optional<Team> team, String owner) {
         this.registry = relay.registry();
@@ -54,7 +54,7 @@
 
     /** Returns the retry delay if the team's quota is exhausted, else empty. Does not charge the quota. */
     Optional<Duration> full() {
-        return team.filter(allotments::full).map(allotments::comeBack);
+        return team.filter(allotments::isExhausted).map(allotments::retryAfter);
     }
 
     /**
@@ -63,24 +63,24 @@
      * @param underWay whether the request's program has already used runner time
      * @param ofProgram whether the request belongs to a program, which needs further requests
      */
-    AllotmentRuling ask(boolean underWay, boolean ofProgram) {
+    QuotaDecision ask(boolean underWay, boolean ofProgram) {
         if (team.isEmpty()) {
-            return AllotmentRuling.UNLIMITED;
+            return QuotaDecision.UNLIMITED;
         }
-        AllotmentRuling ruling = allotments.ask(team.get(), underWay, ofProgram);
-        if (ruling instanceof AllotmentRuling.Allowed allowed) {
-            place = allowed.place();
+        QuotaDecision ruling = allotments.acquire(team.get(), underWay, ofProgram);
+        if (ruling instanceof QuotaDecision.Allowed allowed) {
+            place = allowed.charge();
         }
         return ruling;
     }
 
     /** Charges the quota again for a retry; the first attempt may have run as well. */
     void again() {
-        place.ifPresent(AllottedPlace::again);
+        place.ifPresent(QuotaCharge::chargeAgain);
     }
 
     /** Reverts the latest charge of a request that no runner has started since or will start. */
     void giveBack() {
-        place.ifPresent(AllottedPlace::giveBack);
+        place.ifPresent(QuotaCharge::refund);
     }
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Waiter.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Waiter.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.Set;
+import org.parsleydrift.placement.CachedPart;
 import org.parsleydrift.placement.Candidate;
-import org.parsleydrift.placement.HeldPart;
 import org.parsleydrift.placement.PromptPart;
 
 /** A request in the queue of the {@link Dispatcher}. */
@@ -15,7 +15,7 @@
     List<PromptPart> prompt();
 
     /** Returns the cached prompt parts that the store VMs have reported. */
-    List<HeldPart> heard();
+    List<CachedPart> heard();
 
     /** Returns the ids of the runner incarnations that the request must not be sent to again. */
     Set<String> avoided();
