--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Candidate.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Candidate.java
@@ -13,7 +13,7 @@
  */
 public record Candidate(Runner runner, int load, boolean suspended, boolean sameZone, int uncachedTokens) {
     /** Returns the maximum load, in requests; with prompts it exceeds the slots, so that a freed slot is refilled. */
-    int maxLoad(boolean prompted) {
-        return runner.slots() + (prompted ? Math.max(1, runner.slots() / RunnerChoice.QUEUED_SHARE) : 0);
+    int maxLoad(boolean hasPrompt) {
+        return runner.slots() + (hasPrompt ? Math.max(1, runner.slots() / RunnerChoice.SLOTS_PER_QUEUED_REQUEST) : 0);
     }
 }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PromptCacheIndex.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PromptCacheIndex.java
@@ -15,13 +15,13 @@
  */
 public final class PromptCacheIndex {
     /** Time after its last use at which a part is assumed to be evicted by the runner, ns. */
-    private static final long KEPT_NANOS = 6_000_000_000L;
+    private static final long RETENTION_NANOS = 6_000_000_000L;
 
-    private static final int MOST_PARTS = 1024;
+    private static final int MAX_PARTS_PER_RUNNER = 1024;
 
-    private final Map<String, Map<String, Sent>> byRunner = new HashMap<>();
+    private final Map<String, Map<String, SentPart>> byRunner = new HashMap<>();
 
-    private record Sent(int tokens, long atNanos) {}
+    private record SentPart(int tokens, long atNanos) {}
 
     /**
      * Records that a prompt was sent to a runner, which then caches all of its parts.
@@ -31,8 +31,8 @@
      * @param nowNanos monotonic time, ns
      */
     public void recordSent(String runner, List<PromptPart> prompt, long nowNanos) {
-        Map<String, Sent> parts = byRunner.computeIfAbsent(runner, any -> new RecentParts());
-        prompt.forEach(each -> parts.put(each.id(), new Sent(each.tokens(), nowNanos)));
+        Map<String, SentPart> parts = byRunner.computeIfAbsent(runner, any -> new LruParts());
+        prompt.forEach(each -> parts.put(each.id(), new SentPart(each.tokens(), nowNanos)));
     }
 
     /**
@@ -50,46 +50,47 @@
      *
      * @param runner id of the runner's incarnation
      * @param prompt parts of the prompt in order
-     * @param heard cached parts that the store VMs have reported, of any runner
+     * @param reported cached parts that the store VMs have reported, of any runner
      * @param nowNanos monotonic time, ns
      * @return uncached tokens, from 0 to the length of the prompt
      */
-    public int uncachedTokens(String runner, List<PromptPart> prompt, List<CachedPart> heard, long nowNanos) {
-        Map<String, Sent> parts = byRunner.getOrDefault(runner, Map.of());
+    public int uncachedTokens(String runner, List<PromptPart> prompt, List<CachedPart> reported, long nowNanos) {
+        Map<String, SentPart> parts = byRunner.getOrDefault(runner, Map.of());
         int total = prompt.stream().mapToInt(PromptPart::tokens).sum();
-        int after = 0;
+        int tokensAfter = 0;
         for (PromptPart part : prompt.reversed()) {
-            int held = Math.max(own(parts.get(part.id()), nowNanos), heard(runner, part, heard));
-            if (held > 0) {
-                return after + Math.max(0, part.tokens() - held);
+            int cached = Math.max(
+                    locallyCachedTokens(parts.get(part.id()), nowNanos), reportedTokens(runner, part, reported));
+            if (cached > 0) {
+                return tokensAfter + Math.max(0, part.tokens() - cached);
             }
-            after += part.tokens();
+            tokensAfter += part.tokens();
         }
         return total;
     }
 
-    private static int own(Sent sent, long nowNanos) {
-        return sent != null && nowNanos - sent.atNanos() < KEPT_NANOS ? sent.tokens() : 0;
+    private static int locallyCachedTokens(SentPart sent, long nowNanos) {
+        return sent != null && nowNanos - sent.atNanos() < RETENTION_NANOS ? sent.tokens() : 0;
     }
 
-    private static int heard(String runner, PromptPart part, List<CachedPart> heard) {
-        return heard.stream()
+    private static int reportedTokens(String runner, PromptPart part, List<CachedPart> reported) {
+        return reported.stream()
                 .filter(each -> each.part().equals(part.id()) && each.runner().equals(runner))
                 .mapToInt(CachedPart::tokens)
                 .max()
                 .orElse(0);
     }
 
-    private static final class RecentParts extends LinkedHashMap<String, Sent> {
+    private static final class LruParts extends LinkedHashMap<String, SentPart> {
         private static final long serialVersionUID = 1L;
 
-        private RecentParts() {
+        private LruParts() {
             super(16, 0.75f, true);
         }
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Sent> eldest) {
-            return size() > MOST_PARTS;
+        protected boolean removeEldestEntry(Map.Entry<String, SentPart> eldest) {
+            return size() > MAX_PARTS_PER_RUNNER;
         }
     }
 }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/QuotaPolicy.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/QuotaPolicy.java
@@ -15,20 +15,20 @@
      * Share of the tolerance added to the limit, so that unreported requests do not cost a small team part of its
      * quota.
      */
-    private static final double SLACK_GIVEN_OUT = 0.5;
+    private static final double GRANTED_TOLERANCE_SHARE = 0.5;
 
     /** Share of the tolerance reserved for requests that peers have admitted but not reported yet. */
-    private static final double SLACK_FOR_UNHEARD = 0.5;
+    private static final double UNREPORTED_TOLERANCE_SHARE = 0.5;
 
     /** Reciprocal of the unobserved share of the window from which on only the rate is granted. */
-    private static final double LOST_PER_UNSEEN = 4;
+    private static final double UNOBSERVED_FACTOR = 4;
 
     /**
      * Returns the limit for the recent half of the window, in requests. It bounds bursts, and lets a fleet that has
      * lost all its counts continue at the nominal rate.
      */
-    double late(Quota allotment) {
-        return allotment.maxRequests(seconds() / 2) + tolerance;
+    double recentLimit(Quota allotment) {
+        return allotment.maxRequests(windowSeconds() / 2) + tolerance;
     }
 
     /**
@@ -36,28 +36,28 @@
      * window; the burst and the tolerance shrink as that part grows.
      *
      * @param allotment the team's quota
-     * @param unseen share of the window that precedes the start of nodes, 0 to 1
+     * @param unobserved share of the window that precedes the start of nodes, 0 to 1
      */
-    double whole(Quota allotment, double unseen) {
-        double above = allotment.burst() + SLACK_GIVEN_OUT * tolerance;
-        return allotment.ratePerSecond() * seconds() * (1 - unseen) + above * known(unseen);
+    double windowLimit(Quota allotment, double unobserved) {
+        double excess = allotment.burst() + GRANTED_TOLERANCE_SHARE * tolerance;
+        return allotment.ratePerSecond() * windowSeconds() * (1 - unobserved) + excess * observedFactor(unobserved);
     }
 
     /** Returns the requests by which unreported admissions may exceed the limit; 0 if much is unobserved. */
-    double unheard(double unseen) {
-        return SLACK_FOR_UNHEARD * tolerance * known(unseen);
+    double unreportedAllowance(double unobserved) {
+        return UNREPORTED_TOLERANCE_SHARE * tolerance * observedFactor(unobserved);
     }
 
     /** Returns whether enough of the window is observed to admit requests without random selection. */
-    static boolean wellKnown(double unseen) {
-        return known(unseen) > 0;
+    static boolean isWellObserved(double unobserved) {
+        return observedFactor(unobserved) > 0;
     }
 
-    private static double known(double unseen) {
-        return Math.max(0, 1 - LOST_PER_UNSEEN * unseen);
+    private static double observedFactor(double unobserved) {
+        return Math.max(0, 1 - UNOBSERVED_FACTOR * unobserved);
     }
 
-    private double seconds() {
+    private double windowSeconds() {
         return window.toMillis() / 1000.0;
     }
 }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/QuotaTracker.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/QuotaTracker.java
@@ -24,42 +24,43 @@
  */
 public final class QuotaTracker {
     /** Time over which the remaining quota is granted under excess demand, s; several times the reporting delay. */
-    private static final double SPREAD_SECONDS = 1.2;
+    private static final double GRANT_SPREAD_SECONDS = 1.2;
     /** Share of the demand window whose demand at peers is not reported yet. */
-    private static final double UNHEARD_SHARE = 0.6;
+    private static final double UNREPORTED_DEMAND_SHARE = 0.6;
     /** Share of the expiring requests whose quota is granted in advance. */
-    private static final double LEAVING_SHARE = 0.4;
+    private static final double EXPIRING_GRANT_SHARE = 0.4;
     /** Retry delay at a demand no higher than the quota. */
-    private static final Duration COME_BACK = Duration.ofMillis(300);
+    private static final Duration BASE_RETRY_DELAY = Duration.ofMillis(300);
     /** Upper bound of the retry delay; callers ignore a delay that takes much of their remaining time. */
-    private static final Duration COME_BACK_MOST = Duration.ofSeconds(1);
+    private static final Duration MAX_RETRY_DELAY = Duration.ofSeconds(1);
 
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final LongSupplier nanos;
     private final RandomGenerator random;
-    private final QuotaPolicy rule;
-    private final BooleanSupplier hearsPeers;
+    private final QuotaPolicy policy;
+    private final BooleanSupplier peerUsageKnown;
     private final long startNanos;
-    private final Map<String, TeamCounts> own = new HashMap<>();
-    private final PeerUse peers;
-    private final ProgramNeed need = new ProgramNeed();
+    private final Map<String, TeamCounters> ownCounters = new HashMap<>();
+    private final PeerUsage peers;
+    private final ProgramSizeEstimate programSize = new ProgramSizeEstimate();
 
     /**
      * Creates a tracker without any recorded usage.
      *
      * @param nanos monotonic clock of the loop, ns
      * @param random source of randomness for the selection of requests
-     * @param rule window and tolerance of the quotas
-     * @param hearsPeers returns true if reports of peers arrive, or if this node is known to be the only one
+     * @param policy window and tolerance of the quotas
+     * @param peerUsageKnown returns true if reports of peers arrive, or if this node is known to be the only one
      */
-    public QuotaTracker(LongSupplier nanos, RandomGenerator random, QuotaPolicy rule, BooleanSupplier hearsPeers) {
+    public QuotaTracker(
+            LongSupplier nanos, RandomGenerator random, QuotaPolicy policy, BooleanSupplier peerUsageKnown) {
         this.nanos = nanos;
         this.random = random;
-        this.rule = rule;
-        this.hearsPeers = hearsPeers;
+        this.policy = policy;
+        this.peerUsageKnown = peerUsageKnown;
         this.startNanos = nanos.getAsLong();
-        this.peers = new PeerUse(rule.window());
+        this.peers = new PeerUsage(policy.window());
     }
 
     /**
@@ -68,16 +69,16 @@
      * @param reports latest reports by node or zone; a report with 0 nodes for a reporter that is gone
      */
     public void updatePeers(Map<String, UsageReport> reports) {
-        peers.tell(reports, nanos.getAsLong());
+        peers.update(reports, nanos.getAsLong());
     }
 
     /**
      * Discards the reports of reporters whose usage is contained in the reports of others from now on.
      *
-     * @param tellers names of nodes or zones
+     * @param reporters names of nodes or zones
      */
-    public void forgetReporters(Set<String> tellers) {
-        peers.movedFrom(tellers);
+    public void forgetReporters(Set<String> reporters) {
+        peers.forget(reporters);
     }
 
     /**
@@ -86,12 +87,12 @@
      * @return the usage report of this node alone
      */
     public UsageReport report() {
-        Map<String, TeamUsage> uses = own.entrySet().stream()
+        Map<String, TeamUsage> usages = ownCounters.entrySet().stream()
                 .collect(Collectors.toMap(
-                        Map.Entry::getKey, each -> each.getValue().use()));
-        uses.values().removeIf(TeamUsage::isNone);
-        own.keySet().retainAll(uses.keySet());
-        return new UsageReport(1, unseenMillis(), uses);
+                        Map.Entry::getKey, each -> each.getValue().usage()));
+        usages.values().removeIf(TeamUsage::isNone);
+        ownCounters.keySet().retainAll(usages.keySet());
+        return new UsageReport(1, unobservedMillis(), usages);
     }
 
     /**
@@ -101,7 +102,7 @@
      * @return true if the quota is exhausted; false for a team without a quota
      */
     public boolean isExhausted(Team team) {
-        return team.quota().isLimited() && free(team, use(team).sent()) < 1;
+        return team.quota().isLimited() && remaining(team, usage(team).sent()) < 1;
     }
 
     /**
@@ -111,64 +112,69 @@
      * @return the delay without jitter
      */
     public Duration retryAfter(Team team) {
-        double over = Math.max(
-                1, perSecond(use(team).newDemand()) / Math.max(1, team.quota().ratePerSecond()));
-        long millis = (long) (COME_BACK.toMillis() * over);
-        return Duration.ofMillis(Math.min(COME_BACK_MOST.toMillis(), millis));
+        double demandRatio = Math.max(
+                1, perSecond(usage(team).newDemand()) / Math.max(1, team.quota().ratePerSecond()));
+        long millis = (long) (BASE_RETRY_DELAY.toMillis() * demandRatio);
+        return Duration.ofMillis(Math.min(MAX_RETRY_DELAY.toMillis(), millis));
     }
 
     /**
      * Checks a request against the quota of its team and charges the quota if the request is admitted.
      *
      * @param team the team of the request
-     * @param underWay whether the request's program has already used runner time
-     * @param ofProgram whether the request belongs to a program, which needs further requests
+     * @param inProgress whether the request's program has already used runner time
+     * @param inProgram whether the request belongs to a program, which needs further requests
      * @return the decision
      */
-    public QuotaDecision acquire(Team team, boolean underWay, boolean ofProgram) {
-        boolean begins = !underWay && ofProgram;
+    public QuotaDecision acquire(Team team, boolean inProgress, boolean inProgram) {
+        boolean startsProgram = !inProgress && inProgram;
         if (!team.quota().isLimited()) {
-            need.let(begins);
+            programSize.recordRequest(startsProgram);
             return QuotaDecision.UNLIMITED;
         }
-        if (!hearsPeers.getAsBoolean()) {
+        if (!peerUsageKnown.getAsBoolean()) {
             return new QuotaDecision.Undetermined();
         }
-        TeamCounts counts = own.computeIfAbsent(team.name(), any -> new TeamCounts(nanos, rule.window()));
-        int needed = begins ? need.requests() : 1;
-        if (underWay) {
-            counts.pressed();
+        TeamCounters counters =
+                ownCounters.computeIfAbsent(team.name(), any -> new TeamCounters(nanos, policy.window()));
+        int expectedRequests = startsProgram ? programSize.requestsPerProgram() : 1;
+        if (inProgress) {
+            counters.addInProgressDemand();
         } else {
-            counts.asked(needed);
+            counters.addNewDemand(expectedRequests);
         }
-        boolean passes = !isExhausted(team) && (underWay ? maySpend(team) : mayBegin(team));
-        if (!passes) {
+        boolean admitted = !isExhausted(team) && (inProgress ? canContinue(team) : canStart(team));
+        if (!admitted) {
             return new QuotaDecision.Exceeded(retryAfter(team));
         }
-        need.let(begins);
-        if (!underWay) {
-            counts.planned(needed);
+        programSize.recordRequest(startsProgram);
+        if (!inProgress) {
+            counters.addPlanned(expectedRequests);
         }
         long now = nanos.getAsLong();
-        counts.ran(now, 1);
-        return new QuotaDecision.Allowed(Optional.of(new QuotaCharge(counts, now)));
+        counters.addSent(now, 1);
+        return new QuotaDecision.Allowed(Optional.of(new QuotaCharge(counters, now)));
     }
 
-    private boolean maySpend(Team team) {
-        TeamUsage use = use(team);
-        return drawn(
-                free(team, use.sent()),
-                use.sent(),
-                use.inProgressDemand(),
-                others(team).inProgressDemand());
+    private boolean canContinue(Team team) {
+        TeamUsage usage = usage(team);
+        return isSelected(
+                remaining(team, usage.sent()),
+                usage.sent(),
+                usage.inProgressDemand(),
+                peerUsage(team).inProgressDemand());
     }
 
     /** Decides on the first request of a program, or on a request outside any program. */
-    private boolean mayBegin(Team team) {
-        TeamUsage use = use(team);
-        double free = free(team, use.planned());
-        return free > 0
-                && drawn(free, use.planned(), use.newDemand(), others(team).newDemand());
+    private boolean canStart(Team team) {
+        TeamUsage usage = usage(team);
+        double remaining = remaining(team, usage.planned());
+        return remaining > 0
+                && isSelected(
+                        remaining,
+                        usage.planned(),
+                        usage.newDemand(),
+                        peerUsage(team).newDemand());
     }
 
     /**
@@ -176,43 +182,44 @@
      * all nodes see the same remaining quota and would otherwise claim it at the same time. Demand that peers have not
      * reported yet is estimated from their last reports.
      */
-    private boolean drawn(double free, WindowCounts taken, int asking, int askingOthers) {
-        double leavingPerSecond = LEAVING_SHARE
-                * taken.expiring()
-                / (WindowCounts.LEAVING_PART * rule.window().toMillis() / 1000.0);
-        double unseen = unseenShare();
-        boolean allMayPass =
-                QuotaPolicy.wellKnown(unseen) && asking + UNHEARD_SHARE * askingOthers <= free + rule.unheard(unseen);
-        return allMayPass || random.nextDouble() * perSecond(asking) < free / SPREAD_SECONDS + leavingPerSecond;
+    private boolean isSelected(double remaining, WindowCounts used, int demand, int peerDemand) {
+        double expiringPerSecond = EXPIRING_GRANT_SHARE
+                * used.expiring()
+                / (WindowCounts.EXPIRING_FRACTION * policy.window().toMillis() / 1000.0);
+        double unobserved = unobservedShare();
+        boolean demandFits = QuotaPolicy.isWellObserved(unobserved)
+                && demand + UNREPORTED_DEMAND_SHARE * peerDemand <= remaining + policy.unreportedAllowance(unobserved);
+        return demandFits
+                || random.nextDouble() * perSecond(demand) < remaining / GRANT_SPREAD_SECONDS + expiringPerSecond;
     }
 
-    private static double perSecond(int asking) {
-        return asking * 1000.0 / TeamCounts.ASKED_SPAN.toMillis();
+    private static double perSecond(int requests) {
+        return requests * 1000.0 / TeamCounters.DEMAND_WINDOW.toMillis();
     }
 
-    private TeamUsage use(Team team) {
-        TeamCounts counts = own.get(team.name());
-        return counts == null ? others(team) : others(team).plus(counts.use());
+    private TeamUsage usage(Team team) {
+        TeamCounters counters = ownCounters.get(team.name());
+        return counters == null ? peerUsage(team) : peerUsage(team).plus(counters.usage());
     }
 
-    private TeamUsage others(Team team) {
-        return peers.total().of(team.name());
+    private TeamUsage peerUsage(Team team) {
+        return peers.total().teamUsage(team.name());
     }
 
-    private double free(Team team, WindowCounts taken) {
-        double late = rule.late(team.quota()) - taken.recent();
-        double whole = rule.whole(team.quota(), unseenShare()) - taken.total();
-        return Math.min(late, whole);
+    private double remaining(Team team, WindowCounts used) {
+        double recent = policy.recentLimit(team.quota()) - used.recent();
+        double total = policy.windowLimit(team.quota(), unobservedShare()) - used.total();
+        return Math.min(recent, total);
     }
 
-    private double unseenShare() {
-        int unseen = peers.total().unobservedMillis() + unseenMillis();
-        double spanMillis = (double) rule.window().toMillis() * (peers.total().nodes() + 1);
-        return Math.min(1, unseen / spanMillis);
+    private double unobservedShare() {
+        int unobserved = peers.total().unobservedMillis() + unobservedMillis();
+        double spanMillis = (double) policy.window().toMillis() * (peers.total().nodes() + 1);
+        return Math.min(1, unobserved / spanMillis);
     }
 
-    private int unseenMillis() {
-        long seen = (nanos.getAsLong() - startNanos) / NANOS_PER_MILLI;
-        return (int) Math.max(0, rule.window().toMillis() - seen);
+    private int unobservedMillis() {
+        long observedMillis = (nanos.getAsLong() - startNanos) / NANOS_PER_MILLI;
+        return (int) Math.max(0, policy.window().toMillis() - observedMillis);
     }
 }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RetryBudget.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RetryBudget.java
@@ -6,15 +6,15 @@
  */
 public final class RetryBudget {
     /** Retries earned by each first attempt. */
-    private static final double SHARE = 0.1;
+    private static final double RETRIES_PER_FIRST_ATTEMPT = 0.1;
     /** Maximum and initial balance, retries; about as many as one failing runner interrupts. */
-    private static final double RESERVE = 10;
+    private static final double MAX_BALANCE = 10;
 
-    private double inHand = RESERVE;
+    private double balance = MAX_BALANCE;
 
     /** Credits the budget for a request that is sent to its first runner. */
     public void recordFirstAttempt() {
-        inHand = Math.min(RESERVE, inHand + SHARE);
+        balance = Math.min(MAX_BALANCE, balance + RETRIES_PER_FIRST_ATTEMPT);
     }
 
     /**
@@ -23,9 +23,9 @@
      * @return whether the request may be retried
      */
     public boolean tryAcquire() {
-        boolean granted = inHand >= 1;
+        boolean granted = balance >= 1;
         if (granted) {
-            inHand--;
+            balance--;
         }
         return granted;
     }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerChoice.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerChoice.java
@@ -19,15 +19,15 @@
  */
 public final class RunnerChoice {
     /** Slots per request that may queue at a runner; its own queue refills a freed slot without the reporting delay. */
-    static final int QUEUED_SHARE = 4;
+    static final int SLOTS_PER_QUEUED_REQUEST = 4;
 
     /** Additional load, in requests, at which a runner in the node's zone is still preferred to one in another zone. */
-    private static final double NEAR_REQUESTS = 2;
+    private static final double SAME_ZONE_ADVANTAGE = 2;
     /** Reciprocal of the share of occupied slots from which on a runner in the node's zone is no longer preferred. */
-    private static final int FREE_SHARE = 2;
+    private static final int SAME_ZONE_LOAD_DIVISOR = 2;
 
     /** Runners sampled at random; if nodes with outdated loads compared all runners, they would choose the same one. */
-    static final int DRAWN = 2;
+    static final int SAMPLE_SIZE = 2;
 
     private RunnerChoice() {}
 
@@ -35,92 +35,102 @@
      * Chooses a runner with the default sample size.
      *
      * @param candidates runners of the service that accept new requests
-     * @param usualMissing average number of uncached prompt tokens per request of the service; 0 without prompts
-     * @param anywhere whether any runner below its maximum load is acceptable, since the request's queue wait is nearly
+     * @param typicalUncached average number of uncached prompt tokens per request of the service; 0 without prompts
+     * @param anyRunner whether any runner below its maximum load is acceptable, since the request's queue wait is nearly
      *     over
      * @param random source of randomness for sampling and ties
      * @return the runner; empty if all are full, or if the best one is full and worth the wait
      */
     public static Optional<Candidate> choose(
-            List<Candidate> candidates, double usualMissing, boolean anywhere, RandomGenerator random) {
-        return choose(candidates, usualMissing, anywhere, DRAWN, random);
+            List<Candidate> candidates, double typicalUncached, boolean anyRunner, RandomGenerator random) {
+        return choose(candidates, typicalUncached, anyRunner, SAMPLE_SIZE, random);
     }
 
     /**
      * Chooses among the runners that have cached some of the prompt and a random sample of the others.
      *
      * @param candidates runners of the service that accept new requests
-     * @param usualMissing average number of uncached prompt tokens per request of the service; 0 without prompts
-     * @param anywhere whether any runner below its maximum load is acceptable, since the request's queue wait is nearly
+     * @param typicalUncached average number of uncached prompt tokens per request of the service; 0 without prompts
+     * @param anyRunner whether any runner below its maximum load is acceptable, since the request's queue wait is nearly
      *     over
-     * @param drawn number of sampled runners that have cached nothing of the prompt; 0 to compare all
+     * @param sampleSize number of sampled runners that have cached nothing of the prompt; 0 to compare all
      * @param random source of randomness for sampling and ties
      * @return the runner; empty if all are full, or if the best one is full and worth the wait
      */
     public static Optional<Candidate> choose(
-            List<Candidate> candidates, double usualMissing, boolean anywhere, int drawn, RandomGenerator random) {
+            List<Candidate> candidates,
+            double typicalUncached,
+            boolean anyRunner,
+            int sampleSize,
+            RandomGenerator random) {
         // Near the end of its queue wait a request must find any free runner, also one outside the sample.
-        boolean all = drawn == 0 || anywhere;
-        return chooseAmong(
-                all ? candidates : draw(candidates, drawn, usualMissing > 0, random), usualMissing, anywhere, random);
+        boolean compareAll = sampleSize == 0 || anyRunner;
+        return chooseCheapest(
+                compareAll ? candidates : sample(candidates, sampleSize, typicalUncached > 0, random),
+                typicalUncached,
+                anyRunner,
+                random);
     }
 
-    private static List<Candidate> draw(
-            List<Candidate> candidates, int drawn, boolean prompted, RandomGenerator random) {
-        int most = candidates.stream().mapToInt(Candidate::uncachedTokens).max().orElse(0);
-        Stream<Candidate> holding = candidates.stream().filter(each -> each.uncachedTokens() < most);
+    private static List<Candidate> sample(
+            List<Candidate> candidates, int sampleSize, boolean hasPrompt, RandomGenerator random) {
+        int maxUncached =
+                candidates.stream().mapToInt(Candidate::uncachedTokens).max().orElse(0);
+        Stream<Candidate> cached = candidates.stream().filter(each -> each.uncachedTokens() < maxUncached);
         List<Candidate> free = candidates.stream()
-                .filter(each -> each.uncachedTokens() == most && !each.suspended())
-                .filter(each -> each.load() < each.maxLoad(prompted))
+                .filter(each -> each.uncachedTokens() == maxUncached && !each.suspended())
+                .filter(each -> each.load() < each.maxLoad(hasPrompt))
                 .toList();
         // Without prompts each zone is sampled separately; a sample of all runners would rarely contain a local one.
-        Stream<Candidate> others = prompted
-                ? someOf(free, drawn, random)
+        Stream<Candidate> others = hasPrompt
+                ? randomSubset(free, sampleSize, random)
                 : Stream.concat(
-                        someOf(free.stream().filter(Candidate::sameZone).toList(), drawn, random),
-                        someOf(free.stream().filter(each -> !each.sameZone()).toList(), drawn, random));
-        List<Candidate> met = Stream.concat(holding, others).toList();
-        return met.isEmpty() ? candidates : met;
+                        randomSubset(free.stream().filter(Candidate::sameZone).toList(), sampleSize, random),
+                        randomSubset(
+                                free.stream().filter(each -> !each.sameZone()).toList(), sampleSize, random));
+        List<Candidate> sampled = Stream.concat(cached, others).toList();
+        return sampled.isEmpty() ? candidates : sampled;
     }
 
-    private static Stream<Candidate> someOf(List<Candidate> from, int count, RandomGenerator random) {
+    private static Stream<Candidate> randomSubset(List<Candidate> from, int count, RandomGenerator random) {
         return from.size() <= count
                 ? from.stream()
                 : random.ints(0, from.size()).distinct().limit(count).mapToObj(from::get);
     }
 
-    private static Optional<Candidate> chooseAmong(
-            List<Candidate> candidates, double usualMissing, boolean anywhere, RandomGenerator random) {
+    private static Optional<Candidate> chooseCheapest(
+            List<Candidate> candidates, double typicalUncached, boolean anyRunner, RandomGenerator random) {
         boolean anyHealthy = candidates.stream().anyMatch(each -> !each.suspended());
-        boolean prompted = usualMissing > 0;
-        int largest = candidates.stream()
+        boolean hasPrompt = typicalUncached > 0;
+        int maxSlots = candidates.stream()
                 .mapToInt(each -> each.runner().slots())
                 .max()
                 .orElse(1);
         return candidates.stream()
                 // If all runners are suspended, one is tried nevertheless.
                 .filter(each -> !anyHealthy || !each.suspended())
-                .filter(each -> !anywhere || each.load() < each.maxLoad(prompted))
-                .map(each -> new Drawn(each, cost(each, largest, usualMissing), random.nextDouble()))
-                .min(Comparator.comparingDouble(Drawn::cost)
+                .filter(each -> !anyRunner || each.load() < each.maxLoad(hasPrompt))
+                .map(each -> new Scored(each, cost(each, maxSlots, typicalUncached), random.nextDouble()))
+                .min(Comparator.comparingDouble(Scored::cost)
                         .thenComparing(each -> !each.candidate().sameZone())
-                        .thenComparingDouble(Drawn::lot))
-                .map(Drawn::candidate)
-                .filter(each -> each.load() < each.maxLoad(prompted));
+                        .thenComparingDouble(Scored::tieBreaker))
+                .map(Scored::candidate)
+                .filter(each -> each.load() < each.maxLoad(hasPrompt));
     }
 
     /** Returns the cost in tokens computed while requests wait; in requests for services without prompts. */
-    private static double cost(Candidate candidate, int largest, double usualMissing) {
-        double beside = (double) candidate.load()
-                * largest
+    private static double cost(Candidate candidate, int maxSlots, double typicalUncached) {
+        double relativeLoad = (double) candidate.load()
+                * maxSlots
                 / Math.max(1, candidate.runner().slots());
-        if (usualMissing > 0) {
-            return candidate.uncachedTokens() * (1 + beside) + beside * usualMissing;
+        if (typicalUncached > 0) {
+            return candidate.uncachedTokens() * (1 + relativeLoad) + relativeLoad * typicalUncached;
         }
-        boolean nearWithPlaces = candidate.sameZone()
-                && candidate.load() * FREE_SHARE < candidate.runner().slots();
-        return nearWithPlaces ? beside - NEAR_REQUESTS : beside;
+        boolean preferred = candidate.sameZone()
+                && candidate.load() * SAME_ZONE_LOAD_DIVISOR
+                        < candidate.runner().slots();
+        return preferred ? relativeLoad - SAME_ZONE_ADVANTAGE : relativeLoad;
     }
 
-    private record Drawn(Candidate candidate, double cost, double lot) {}
+    private record Scored(Candidate candidate, double cost, double tieBreaker) {}
 }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerHealth.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerHealth.java
@@ -7,21 +7,21 @@
  * whose responses break off repeatedly, is suspended with exponential backoff.
  */
 public final class RunnerHealth {
-    private static final Duration FIRST_REST = Duration.ofMillis(200);
-    private static final Duration LONGEST_REST = Duration.ofMillis(1600);
+    private static final Duration INITIAL_BACKOFF = Duration.ofMillis(200);
+    private static final Duration MAX_BACKOFF = Duration.ofMillis(1600);
     /** Consecutive broken responses without suspension; healthy runners break off single ones. */
-    private static final int BROKEN_ANSWERS_BORNE = 2;
+    private static final int TOLERATED_BROKEN_RESPONSES = 2;
 
     private int failures;
-    private int brokenAnswers;
-    private long restUntilNanos;
-    private boolean resting;
+    private int brokenResponses;
+    private long suspendedUntilNanos;
+    private boolean suspended;
 
     /** Resets the state after a complete response. */
     public void recordSuccess() {
         failures = 0;
-        brokenAnswers = 0;
-        resting = false;
+        brokenResponses = 0;
+        suspended = false;
     }
 
     /**
@@ -30,7 +30,7 @@
      * @param nowNanos monotonic time, ns
      */
     public void recordConnectFailure(long nowNanos) {
-        rest(nowNanos);
+        suspend(nowNanos);
     }
 
     /**
@@ -39,9 +39,9 @@
      * @param nowNanos monotonic time, ns
      */
     public void recordBrokenResponse(long nowNanos) {
-        brokenAnswers++;
-        if (brokenAnswers > BROKEN_ANSWERS_BORNE) {
-            rest(nowNanos);
+        brokenResponses++;
+        if (brokenResponses > TOLERATED_BROKEN_RESPONSES) {
+            suspend(nowNanos);
         }
     }
 
@@ -52,13 +52,13 @@
      * @return true until the backoff ends
      */
     public boolean isSuspended(long nowNanos) {
-        return resting && restUntilNanos - nowNanos > 0;
+        return suspended && suspendedUntilNanos - nowNanos > 0;
     }
 
-    private void rest(long nowNanos) {
-        long span = FIRST_REST.toNanos() << Math.min(failures, 10);
+    private void suspend(long nowNanos) {
+        long backoffNanos = INITIAL_BACKOFF.toNanos() << Math.min(failures, 10);
         failures++;
-        resting = true;
-        restUntilNanos = nowNanos + Math.min(span, LONGEST_REST.toNanos());
+        suspended = true;
+        suspendedUntilNanos = nowNanos + Math.min(backoffNanos, MAX_BACKOFF.toNanos());
     }
 }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/SlidingCount.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/SlidingWindowCounter.java
@@ -8,18 +8,18 @@
  * A counter over a sliding window, divided into slots. A slot expires as a whole once all of it is older than the
  * window, so the sum is never too low, and too high by at most the count of one slot.
  */
-final class SlidingCount {
+final class SlidingWindowCounter {
     private static final int SLOTS = 50;
     /** Age, in slots, from which on a slot counts as expiring. */
-    private static final int OLD_SLOTS = SLOTS - (int) (SLOTS * WindowCounts.LEAVING_PART);
+    private static final int EXPIRING_SLOT_AGE = SLOTS - (int) (SLOTS * WindowCounts.EXPIRING_FRACTION);
 
     private final long slotNanos;
     private final int[] counts = new int[SLOTS + 1];
     private long newest = Long.MIN_VALUE;
     private int sum;
 
-    SlidingCount(Duration span) {
-        slotNanos = Math.max(1, span.toNanos() / SLOTS);
+    SlidingWindowCounter(Duration window) {
+        slotNanos = Math.max(1, window.toNanos() / SLOTS);
     }
 
     /** Adds a count, which may be negative, at a point in time; ignored if that slot has expired. */
@@ -29,7 +29,7 @@
             advance(slot);
         }
         if (slot > newest - counts.length) {
-            counts[place(slot)] += count;
+            counts[slotIndex(slot)] += count;
             sum += count;
         }
     }
@@ -39,17 +39,19 @@
         return sum;
     }
 
-    WindowCounts windowed(long nowNanos) {
-        int whole = sum(nowNanos);
-        return whole == 0
+    WindowCounts windowCounts(long nowNanos) {
+        int total = sum(nowNanos);
+        return total == 0
                 ? WindowCounts.NONE
                 : new WindowCounts(
-                        whole, between(newest - SLOTS / 2, newest), between(newest - SLOTS, newest - OLD_SLOTS));
+                        total,
+                        sumBetween(newest - SLOTS / 2, newest),
+                        sumBetween(newest - SLOTS, newest - EXPIRING_SLOT_AGE));
     }
 
-    private int between(long first, long last) {
+    private int sumBetween(long first, long last) {
         return LongStream.rangeClosed(first, last)
-                .mapToInt(slot -> counts[place(slot)])
+                .mapToInt(slot -> counts[slotIndex(slot)])
                 .sum();
     }
 
@@ -62,12 +64,12 @@
         }
         while (newest < slot) {
             newest++;
-            sum -= counts[place(newest)];
-            counts[place(newest)] = 0;
+            sum -= counts[slotIndex(newest)];
+            counts[slotIndex(newest)] = 0;
         }
     }
 
-    private int place(long slot) {
+    private int slotIndex(long slot) {
         return (int) Math.floorMod(slot, (long) counts.length);
     }
 }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/TeamUsage.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/TeamUsage.java
@@ -41,20 +41,20 @@
     }
 
     /** Returns the component-wise maximum. */
-    TeamUsage most(TeamUsage other) {
+    TeamUsage max(TeamUsage other) {
         return new TeamUsage(
-                sent.most(other.sent),
-                planned.most(other.planned),
+                sent.max(other.sent),
+                planned.max(other.planned),
                 Math.max(newDemand, other.newDemand),
                 Math.max(inProgressDemand, other.inProgressDemand));
     }
 
-    TeamUsage times(double share) {
+    TeamUsage scale(double share) {
         return new TeamUsage(
-                sent.times(share),
-                planned.times(share),
-                WindowCounts.scaled(newDemand, share),
-                WindowCounts.scaled(inProgressDemand, share));
+                sent.scale(share),
+                planned.scale(share),
+                WindowCounts.scaleUp(newDemand, share),
+                WindowCounts.scaleUp(inProgressDemand, share));
     }
 
     boolean isNone() {
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/UsageReport.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/UsageReport.java
@@ -29,7 +29,7 @@
      */
     public UsageReport plus(UsageReport other) {
         return new UsageReport(
-                nodes + other.nodes, unobservedMillis + other.unobservedMillis, joined(other, TeamUsage::plus));
+                nodes + other.nodes, unobservedMillis + other.unobservedMillis, mergeTeams(other, TeamUsage::plus));
     }
 
     /**
@@ -47,26 +47,26 @@
     }
 
     /** Returns this report with the component-wise maximum of the usage in both reports. */
-    UsageReport most(UsageReport other) {
-        return new UsageReport(nodes, unobservedMillis, joined(other, TeamUsage::most));
+    UsageReport max(UsageReport other) {
+        return new UsageReport(nodes, unobservedMillis, mergeTeams(other, TeamUsage::max));
     }
 
-    UsageReport times(double share) {
+    UsageReport scale(double share) {
         Map<String, TeamUsage> scaled = new HashMap<>();
-        teams.forEach((team, use) -> scaled.put(team, use.times(share)));
+        teams.forEach((team, use) -> scaled.put(team, use.scale(share)));
         return new UsageReport(nodes, unobservedMillis, scaled);
     }
 
-    TeamUsage of(String team) {
+    TeamUsage teamUsage(String team) {
         return teams.getOrDefault(team, TeamUsage.NONE);
     }
 
-    private Map<String, TeamUsage> joined(UsageReport other, BinaryOperator<TeamUsage> join) {
+    private Map<String, TeamUsage> mergeTeams(UsageReport other, BinaryOperator<TeamUsage> combine) {
         if (other.teams.isEmpty()) {
             return teams;
         }
-        Map<String, TeamUsage> both = new HashMap<>(teams);
-        other.teams.forEach((team, use) -> both.merge(team, use, join));
-        return both;
+        Map<String, TeamUsage> merged = new HashMap<>(teams);
+        other.teams.forEach((team, use) -> merged.merge(team, use, combine));
+        return merged;
     }
 }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/WindowCounts.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/WindowCounts.java
@@ -9,7 +9,7 @@
  */
 public record WindowCounts(int total, int recent, int expiring) {
     /** Share of the window that counts as expiring. */
-    static final double LEAVING_PART = 0.2;
+    static final double EXPIRING_FRACTION = 0.2;
     /** All counts 0. */
     public static final WindowCounts NONE = new WindowCounts(0, 0, 0);
 
@@ -24,17 +24,17 @@
                 Math.max(0, expiring - part.expiring));
     }
 
-    WindowCounts most(WindowCounts other) {
+    WindowCounts max(WindowCounts other) {
         return new WindowCounts(
                 Math.max(total, other.total), Math.max(recent, other.recent), Math.max(expiring, other.expiring));
     }
 
-    WindowCounts times(double share) {
-        return new WindowCounts(scaled(total, share), scaled(recent, share), scaled(expiring, share));
+    WindowCounts scale(double share) {
+        return new WindowCounts(scaleUp(total, share), scaleUp(recent, share), scaleUp(expiring, share));
     }
 
     /** Scales a count, rounding up, since the counts of a small team at one node are 0 or 1. */
-    static int scaled(int count, double share) {
+    static int scaleUp(int count, double share) {
         return (int) Math.ceil(count * share);
     }
 }
