--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PromptCacheIndex.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PromptCacheIndex.java
@@ -38,10 +38,10 @@
     /**
      * Removes the entries of runners that are gone.
      *
-     * @param lives ids of the incarnations to retain
+     * @param incarnations ids of the incarnations to retain
      */
-    public void retainRunners(Set<String> lives) {
-        byRunner.keySet().retainAll(lives);
+    public void retainRunners(Set<String> incarnations) {
+        byRunner.keySet().retainAll(incarnations);
     }
 
     /**
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerConnection.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerConnection.java
@@ -36,20 +36,20 @@
 final class CallerConnection extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = System.getLogger(CallerConnection.class.getName());
     /** Buffered message parts of pipelined requests above which reading from the connection pauses. */
-    private static final int MAX_WAITING_PARTS = 64;
+    private static final int MAX_PENDING_PARTS = 64;
     /** Unsent response bytes above which a slow caller is disconnected. */
     private static final long MAX_UNSENT_BYTES = 1 << 20;
 
     private final RequestHandler handler;
     private final ConnectionOwner server;
     private final RuntimeClock clock;
-    private final Deque<HttpObject> waiting = new ArrayDeque<>();
+    private final Deque<HttpObject> pending = new ArrayDeque<>();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private Channel channel;
     private HttpRequest head;
-    private Answer current;
+    private Response current;
     private boolean closing;
-    private long quietSinceNanos;
+    private long idleSinceNanos;
 
     CallerConnection(RequestHandler handler, ConnectionOwner server, RuntimeClock clock) {
         this.handler = handler;
@@ -60,19 +60,19 @@
     @Override
     public void channelActive(ChannelHandlerContext context) {
         channel = context.channel();
-        quietSinceNanos = clock.nanos();
-        server.opened(this);
+        idleSinceNanos = clock.nanos();
+        server.connectionOpened(this);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        server.closed(this);
+        server.connectionClosed(this);
         closing = true;
-        waiting.forEach(ReferenceCountUtil::release);
-        waiting.clear();
+        pending.forEach(ReferenceCountUtil::release);
+        pending.clear();
         if (current != null && !current.ended) {
             current.ended = true;
-            current.onGone.run();
+            current.onDisconnect.run();
         }
     }
 
@@ -82,11 +82,11 @@
             ReferenceCountUtil.release(message);
             return;
         }
-        waiting.add((HttpObject) message);
-        if (waiting.size() > MAX_WAITING_PARTS) {
+        pending.add((HttpObject) message);
+        if (pending.size() > MAX_PENDING_PARTS) {
             channel.config().setAutoRead(false);
         }
-        takeParts();
+        processParts();
     }
 
     @Override
@@ -106,14 +106,14 @@
         }
         long limit =
                 (head == null ? limits.idleTimeout() : limits.headerTimeout().plus(limits.idleTimeout())).toNanos();
-        if (clock.nanos() - quietSinceNanos > limit) {
+        if (clock.nanos() - idleSinceNanos > limit) {
             close();
         }
     }
 
     /** Closes the connection unless a request is being received or processed. */
     void closeIfIdle() {
-        boolean busy = (current != null && !current.ended) || head != null || !waiting.isEmpty();
+        boolean busy = (current != null && !current.ended) || head != null || !pending.isEmpty();
         if (!busy) {
             close();
         }
@@ -124,59 +124,59 @@
         channel.close();
     }
 
-    private void takeParts() {
-        while (!closing && (current == null || current.ended) && !waiting.isEmpty()) {
-            HttpObject part = waiting.poll();
-            quietSinceNanos = clock.nanos();
+    private void processParts() {
+        while (!closing && (current == null || current.ended) && !pending.isEmpty()) {
+            HttpObject part = pending.poll();
+            idleSinceNanos = clock.nanos();
             try {
-                take(part);
+                processPart(part);
             } finally {
                 ReferenceCountUtil.release(part);
             }
         }
-        if (!closing && waiting.isEmpty() && !channel.config().isAutoRead()) {
+        if (!closing && pending.isEmpty() && !channel.config().isAutoRead()) {
             channel.config().setAutoRead(true);
         }
     }
 
-    private void take(HttpObject part) {
+    private void processPart(HttpObject part) {
         if (part.decoderResult().isFailure()) {
-            refuseFraming(part);
+            rejectFraming(part);
             return;
         }
         if (part instanceof HttpRequest request) {
-            begin(request);
+            beginRequest(request);
         }
         if (!closing && part instanceof HttpContent content && head != null) {
             ByteBuf bytes = content.content();
             if (body.size() + bytes.readableBytes() > server.limits().maxBodyBytes()) {
-                refuse(413, "request body larger than " + server.limits().maxBodyBytes() + " bytes");
+                reject(413, "request body larger than " + server.limits().maxBodyBytes() + " bytes");
                 return;
             }
             byte[] copy = new byte[bytes.readableBytes()];
             bytes.readBytes(copy);
             body.writeBytes(copy);
             if (part instanceof LastHttpContent) {
-                serve();
+                handleRequest();
             }
         }
     }
 
-    private void refuseFraming(HttpObject part) {
+    private void rejectFraming(HttpObject part) {
         boolean tooLong = part.decoderResult().cause() instanceof TooLongFrameException;
-        refuse(tooLong ? 431 : 400, String.valueOf(part.decoderResult().cause().getMessage()));
+        reject(tooLong ? 431 : 400, String.valueOf(part.decoderResult().cause().getMessage()));
     }
 
-    private void begin(HttpRequest request) {
+    private void beginRequest(HttpRequest request) {
         HttpHeaders headers = request.headers();
         List<String> encodings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        boolean soundEncoding = encodings.isEmpty()
+        boolean validEncoding = encodings.isEmpty()
                 || (encodings.size() == 1
                         && "chunked".equalsIgnoreCase(encodings.getFirst().trim())
                         && request.protocolVersion().equals(HttpVersion.HTTP_1_1));
-        boolean oneHost = headers.getAll(HttpHeaderNames.HOST).size() == 1;
-        if (!soundEncoding || !oneHost || !request.uri().startsWith("/")) {
-            refuse(400, "invalid Transfer-Encoding, Host or request target");
+        boolean singleHost = headers.getAll(HttpHeaderNames.HOST).size() == 1;
+        if (!validEncoding || !singleHost || !request.uri().startsWith("/")) {
+            reject(400, "invalid Transfer-Encoding, Host or request target");
             return;
         }
         head = request;
@@ -186,24 +186,24 @@
         }
     }
 
-    private void serve() {
+    private void handleRequest() {
         HttpRequest request = head;
         head = null;
-        boolean keep = HttpUtil.isKeepAlive(request);
-        CallerRequest whole = new CallerRequest(
+        boolean keepAlive = HttpUtil.isKeepAlive(request);
+        CallerRequest complete = new CallerRequest(
                 request.method().name(),
                 request.uri(),
                 request.headers().get(HttpHeaderNames.HOST),
                 request.headers(),
                 body.toByteArray());
         body.reset();
-        Answer answer = new Answer(keep, "HEAD".equals(whole.method()));
-        current = answer;
-        answer.onGone = handler.handle(whole, answer);
+        Response response = new Response(keepAlive, "HEAD".equals(complete.method()));
+        current = response;
+        response.onDisconnect = handler.handle(complete, response);
     }
 
     /** Rejects a malformed request and closes the connection, since the start of the next request is unknown. */
-    private void refuse(int status, String reason) {
+    private void reject(int status, String reason) {
         LOG.log(
                 Logger.Level.INFO,
                 () -> LogLine.of("caller_request_unreadable")
@@ -219,19 +219,19 @@
     }
 
     /** Writes the response to one request. */
-    private final class Answer implements CallerAnswer {
-        private final boolean keep;
+    private final class Response implements CallerResponse {
+        private final boolean keepAlive;
         private final boolean headOnly;
-        private Runnable onGone = () -> {};
+        private Runnable onDisconnect = () -> {};
         private boolean ended;
 
-        private Answer(boolean keep, boolean headOnly) {
-            this.keep = keep;
+        private Response(boolean keepAlive, boolean headOnly) {
+            this.keepAlive = keepAlive;
             this.headOnly = headOnly;
         }
 
         @Override
-        public void whole(int status, HttpHeaders headers, byte[] bytes) {
+        public void sendFull(int status, HttpHeaders headers, byte[] bytes) {
             if (ended) {
                 return;
             }
@@ -255,7 +255,7 @@
         }
 
         @Override
-        public void events(byte[] bytes) {
+        public void sendEvents(byte[] bytes) {
             var unsent = channel.unsafe().outboundBuffer();
             if (unsent != null && unsent.totalPendingWriteBytes() > MAX_UNSENT_BYTES) {
                 LOG.log(
@@ -272,7 +272,7 @@
         @Override
         public void endStream() {
             if (!ended) {
-                finish(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), !keep || server.draining());
+                finish(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), !keepAlive || server.isDraining());
             }
         }
 
@@ -283,7 +283,7 @@
         }
 
         private boolean announceClose(HttpHeaders headers) {
-            boolean closes = !keep || server.draining();
+            boolean closes = !keepAlive || server.isDraining();
             if (closes) {
                 headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
@@ -292,13 +292,13 @@
 
         private void finish(ChannelFuture sent, boolean closes) {
             ended = true;
-            quietSinceNanos = clock.nanos();
+            idleSinceNanos = clock.nanos();
             if (closes) {
                 closing = true;
                 sent.addListener(ChannelFutureListener.CLOSE);
             } else {
                 // Scheduled instead of called: many buffered requests would otherwise recurse too deeply.
-                channel.eventLoop().execute(CallerConnection.this::takeParts);
+                channel.eventLoop().execute(CallerConnection.this::processParts);
             }
         }
     }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerAnswer.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerResponse.java
@@ -6,15 +6,15 @@
  * Response channel to the caller of one request. Exactly one of a full response, the end of a stream and an abort ends
  * it.
  */
-interface CallerAnswer {
+interface CallerResponse {
     /** Sends a full response. */
-    void whole(int status, HttpHeaders headers, byte[] body);
+    void sendFull(int status, HttpHeaders headers, byte[] body);
 
     /** Sends the head of an event stream. */
     void beginStream(int status, HttpHeaders headers);
 
     /** Sends complete events. */
-    void events(byte[] bytes);
+    void sendEvents(byte[] bytes);
 
     /** Ends a stream with the terminating chunk, which marks it as complete. */
     void endStream();
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerServer.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerServer.java
@@ -97,17 +97,17 @@
         }
 
         @Override
-        public boolean draining() {
+        public boolean isDraining() {
             return draining;
         }
 
         @Override
-        public void opened(CallerConnection connection) {
+        public void connectionOpened(CallerConnection connection) {
             connections.add(connection);
         }
 
         @Override
-        public void closed(CallerConnection connection) {
+        public void connectionClosed(CallerConnection connection) {
             connections.remove(connection);
         }
     }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/ConnectionOwner.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/ConnectionOwner.java
@@ -8,9 +8,9 @@
     CallerLimits limits();
 
     /** Returns whether each response must carry {@code Connection: close}. */
-    boolean draining();
+    boolean isDraining();
 
-    void opened(CallerConnection connection);
+    void connectionOpened(CallerConnection connection);
 
-    void closed(CallerConnection connection);
+    void connectionClosed(CallerConnection connection);
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/IdleConnections.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/ConnectionPool.java
@@ -1,10 +1,10 @@
 package org.parsleydrift.relay;
 
 /** Pool that a runner's connection returns to after a response. */
-interface IdleConnections {
+interface ConnectionPool {
     /** Returns a reusable connection to the pool. */
-    void idle(RunnerConnection connection);
+    void release(RunnerConnection connection);
 
     /** Removes a closed connection from the pool, if it is there. */
-    void closed(RunnerConnection connection);
+    void remove(RunnerConnection connection);
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/ChainText.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/ConversationInput.java
@@ -5,13 +5,13 @@
 import org.parsleydrift.conversation.Turn;
 
 /** Builds the request body of a turn whose conversation history is stored by the system. */
-final class ChainText {
-    private ChainText() {}
+final class ConversationInput {
+    private ConversationInput() {}
 
     /** Concatenates input and output of the earlier turns, oldest first, and the new input. */
-    static byte[] assemble(List<Turn> chain, byte[] input) {
+    static byte[] assemble(List<Turn> history, byte[] input) {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
-        chain.forEach(turn -> {
+        history.forEach(turn -> {
             text.writeBytes(turn.input());
             text.writeBytes(turn.output());
         });
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Dispatcher.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Dispatcher.java
@@ -27,29 +27,29 @@
  * <p>Not thread-safe; confined to one event loop.
  */
 public final class Dispatcher {
-    private static final Comparator<Entry> ORDER = Comparator.<Entry, Boolean>comparing(
-                    each -> !each.waiter().underWay())
-            .thenComparingInt(each -> each.waiter().priority())
-            .thenComparingLong(Entry::arrival);
+    private static final Comparator<QueueEntry> ORDER = Comparator.<QueueEntry, Boolean>comparing(
+                    each -> !each.request().isInProgress())
+            .thenComparingInt(each -> each.request().priority())
+            .thenComparingLong(QueueEntry::arrival);
 
     /** Initial average of uncached prompt tokens per request. */
-    private static final double FIRST_USUAL_MISSING = 500;
+    private static final double INITIAL_UNCACHED_TOKENS = 500;
     /** Weight of the latest placement in the moving average of uncached prompt tokens. */
-    private static final double USUAL_WEIGHT = 0.05;
+    private static final double AVERAGE_WEIGHT = 0.05;
 
     private final Registry registry;
     private final RandomGenerator random;
     private final String zone;
     private final LongSupplier nanos;
-    private final List<Entry> waiting = new ArrayList<>();
+    private final List<QueueEntry> queue = new ArrayList<>();
     private final Map<String, Integer> ownLoad = new HashMap<>();
     private final Map<String, Map<Long, Integer>> peerLoad = new HashMap<>();
-    private final Map<Long, Integer> peerTotal = new HashMap<>();
-    private final Map<String, Long> keys = new HashMap<>();
+    private final Map<Long, Integer> peerLoadTotals = new HashMap<>();
+    private final Map<String, Long> runnerKeys = new HashMap<>();
     private final Map<String, RunnerHealth> health = new HashMap<>();
-    private final Map<String, RetryBudget> retries = new HashMap<>();
-    private final Map<String, Double> usualMissing = new HashMap<>();
-    private final PromptCacheIndex prompts = new PromptCacheIndex();
+    private final Map<String, RetryBudget> retryBudgets = new HashMap<>();
+    private final Map<String, Double> averageUncached = new HashMap<>();
+    private final PromptCacheIndex promptCache = new PromptCacheIndex();
     private long arrivals;
 
     /**
@@ -82,7 +82,7 @@
      * @return number of requests
      */
     public int totalLoad() {
-        return Stream.concat(ownLoad.values().stream(), peerTotal.values().stream())
+        return Stream.concat(ownLoad.values().stream(), peerLoadTotals.values().stream())
                 .mapToInt(Integer::intValue)
                 .sum();
     }
@@ -95,11 +95,11 @@
      */
     public void updatePeerLoads(Map<String, Map<Long, Integer>> loads) {
         loads.forEach((node, load) -> {
-            Map<Long, Integer> former = peerLoad.put(node, Map.copyOf(load));
-            if (former != null) {
-                former.forEach((runner, count) -> peerTotal.merge(runner, -count, Integer::sum));
+            Map<Long, Integer> previous = peerLoad.put(node, Map.copyOf(load));
+            if (previous != null) {
+                previous.forEach((runner, count) -> peerLoadTotals.merge(runner, -count, Integer::sum));
             }
-            load.forEach((runner, count) -> peerTotal.merge(runner, count, Integer::sum));
+            load.forEach((runner, count) -> peerLoadTotals.merge(runner, count, Integer::sum));
         });
         dispatch();
     }
@@ -110,60 +110,60 @@
      * @return number of requests
      */
     public int queueLength() {
-        return waiting.size();
+        return queue.size();
     }
 
     /** Drops the state of runners that are gone and assigns queued requests to new ones. */
     void runnersChanged() {
-        Set<String> lives = registry.incarnations();
-        prompts.retainRunners(lives);
-        health.keySet().retainAll(lives);
-        keys.keySet().retainAll(lives);
+        Set<String> incarnations = registry.incarnations();
+        promptCache.retainRunners(incarnations);
+        health.keySet().retainAll(incarnations);
+        runnerKeys.keySet().retainAll(incarnations);
         dispatch();
     }
 
     /** Notifies the queued requests of a new manifest, so that those it no longer permits withdraw. */
     void manifestChanged() {
-        List.copyOf(waiting).forEach(each -> each.waiter().manifestChanged());
+        List.copyOf(queue).forEach(each -> each.request().manifestChanged());
     }
 
     /** Assigns queued requests to runners, in order of precedence. */
     void dispatch() {
-        if (waiting.isEmpty()) {
+        if (queue.isEmpty()) {
             return;
         }
-        waiting.sort(ORDER);
-        for (Entry entry : List.copyOf(waiting)) {
-            place(entry);
+        queue.sort(ORDER);
+        for (QueueEntry entry : List.copyOf(queue)) {
+            tryAssign(entry);
         }
     }
 
-    void submit(Waiter waiter) {
-        Entry entry = new Entry(waiter, arrivals++);
-        waiting.add(entry);
-        if (waiting.size() == 1) {
-            place(entry);
+    void submit(QueuedRequest request) {
+        QueueEntry entry = new QueueEntry(request, arrivals++);
+        queue.add(entry);
+        if (queue.size() == 1) {
+            tryAssign(entry);
         } else {
             dispatch();
         }
     }
 
-    boolean withdraw(Waiter waiter) {
-        return waiting.removeIf(each -> each.waiter().equals(waiter));
+    boolean withdraw(QueuedRequest request) {
+        return queue.removeIf(each -> each.request().equals(request));
     }
 
     /** Releases a slot of a runner and assigns queued requests. */
-    void finished(String life) {
-        ownLoad.computeIfPresent(life, (same, load) -> load <= 1 ? null : load - 1);
+    void releaseSlot(String incarnation) {
+        ownLoad.computeIfPresent(incarnation, (same, load) -> load <= 1 ? null : load - 1);
         dispatch();
     }
 
-    RunnerHealth health(String life) {
-        return health.computeIfAbsent(life, any -> new RunnerHealth());
+    RunnerHealth health(String incarnation) {
+        return health.computeIfAbsent(incarnation, any -> new RunnerHealth());
     }
 
-    RetryBudget retries(String service) {
-        return retries.computeIfAbsent(service, any -> new RetryBudget());
+    RetryBudget retryBudget(String service) {
+        return retryBudgets.computeIfAbsent(service, any -> new RetryBudget());
     }
 
     /** Returns the runners of a service that accept new requests. */
@@ -171,44 +171,47 @@
         return registry.runners(service);
     }
 
-    private void place(Entry entry) {
-        Waiter waiter = entry.waiter();
+    private void tryAssign(QueueEntry entry) {
+        QueuedRequest request = entry.request();
         long now = nanos.getAsLong();
-        List<Candidate> candidates = registry.runners(waiter.service()).stream()
-                .filter(each -> !waiter.avoided().contains(each.incarnation()))
-                .map(each -> candidate(each, waiter, now))
+        List<Candidate> candidates = registry.runners(request.service()).stream()
+                .filter(each -> !request.excludedRunners().contains(each.incarnation()))
+                .map(each -> candidate(each, request, now))
                 .toList();
-        double usual = waiter.prompt().isEmpty() ? 0 : usualMissing.getOrDefault(waiter.service(), FIRST_USUAL_MISSING);
-        Optional<Candidate> chosen = RunnerChoice.choose(candidates, usual, waiter.anywhere(), random);
-        if (chosen.isPresent() && waiting.remove(entry)) {
-            take(waiter, chosen.get(), usual, now);
+        double average = request.prompt().isEmpty()
+                ? 0
+                : averageUncached.getOrDefault(request.service(), INITIAL_UNCACHED_TOKENS);
+        Optional<Candidate> chosen = RunnerChoice.choose(candidates, average, request.acceptsAnyRunner(), random);
+        if (chosen.isPresent() && queue.remove(entry)) {
+            assign(request, chosen.get(), average, now);
         }
     }
 
-    private void take(Waiter waiter, Candidate chosen, double usual, long now) {
-        String life = chosen.runner().incarnation();
-        ownLoad.merge(life, 1, Integer::sum);
-        if (!waiter.prompt().isEmpty()) {
-            prompts.recordSent(life, waiter.prompt(), now);
-            double learned = usual + USUAL_WEIGHT * (chosen.uncachedTokens() - usual);
-            usualMissing.put(waiter.service(), Math.max(1, learned));
+    private void assign(QueuedRequest request, Candidate chosen, double average, long now) {
+        String incarnation = chosen.runner().incarnation();
+        ownLoad.merge(incarnation, 1, Integer::sum);
+        if (!request.prompt().isEmpty()) {
+            promptCache.recordSent(incarnation, request.prompt(), now);
+            double updated = average + AVERAGE_WEIGHT * (chosen.uncachedTokens() - average);
+            averageUncached.put(request.service(), Math.max(1, updated));
         }
-        waiter.offered(chosen);
+        request.assign(chosen);
     }
 
-    private Long key(String life) {
-        return keys.computeIfAbsent(life, RunnerKey::of);
+    private Long runnerKey(String incarnation) {
+        return runnerKeys.computeIfAbsent(incarnation, RunnerKey::of);
     }
 
-    private Candidate candidate(Runner runner, Waiter waiter, long now) {
-        RunnerHealth known = health.get(runner.incarnation());
+    private Candidate candidate(Runner runner, QueuedRequest request, long now) {
+        RunnerHealth runnerHealth = health.get(runner.incarnation());
         return new Candidate(
                 runner,
-                ownLoad.getOrDefault(runner.incarnation(), 0) + peerTotal.getOrDefault(key(runner.incarnation()), 0),
-                known != null && known.isSuspended(now),
+                ownLoad.getOrDefault(runner.incarnation(), 0)
+                        + peerLoadTotals.getOrDefault(runnerKey(runner.incarnation()), 0),
+                runnerHealth != null && runnerHealth.isSuspended(now),
                 runner.zone().equals(zone),
-                prompts.uncachedTokens(runner.incarnation(), waiter.prompt(), waiter.heard(), now));
+                promptCache.uncachedTokens(runner.incarnation(), request.prompt(), request.reportedParts(), now));
     }
 
-    private record Entry(Waiter waiter, long arrival) {}
+    private record QueueEntry(QueuedRequest request, long arrival) {}
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/EventStreamReader.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/EventStreamReader.java
@@ -11,44 +11,44 @@
     private static final String ID = "id:";
     private static final String DATA = "data:";
 
-    private final ByteArrayOutputStream begun = new ByteArrayOutputStream();
-    private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream complete = new ByteArrayOutputStream();
     private final ByteArrayOutputStream data = new ByteArrayOutputStream();
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
-    private final boolean keepsData;
+    private final boolean collectData;
     private long lastId = Long.MIN_VALUE;
-    private int events;
+    private int eventCount;
     private boolean eventHasLines;
     private boolean outOfOrder;
 
-    EventStreamReader(boolean keepsData) {
-        this.keepsData = keepsData;
+    EventStreamReader(boolean collectData) {
+        this.collectData = collectData;
     }
 
     /** Parses the next bytes of the stream and returns the events that they complete; empty if none. */
-    byte[] take(byte[] bytes) {
-        whole.reset();
+    byte[] parse(byte[] bytes) {
+        complete.reset();
         for (byte each : bytes) {
-            begun.write(each);
+            pending.write(each);
             if (each == '\n') {
                 endLine();
             } else if (each != '\r') {
                 line.write(each);
             }
         }
-        return whole.toByteArray();
+        return complete.toByteArray();
     }
 
-    int events() {
-        return events;
+    int eventCount() {
+        return eventCount;
     }
 
     /** Returns whether the stream so far consists of complete events with consecutive ids. */
-    boolean sound() {
-        return begun.size() == 0 && !outOfOrder;
+    boolean isWellFormed() {
+        return pending.size() == 0 && !outOfOrder;
     }
 
-    boolean outOfOrder() {
+    boolean isOutOfOrder() {
         return outOfOrder;
     }
 
@@ -62,23 +62,23 @@
         line.reset();
         if (!text.isEmpty()) {
             eventHasLines = true;
-            takeField(text);
+            parseField(text);
             return;
         }
         if (eventHasLines) {
-            events++;
+            eventCount++;
             eventHasLines = false;
         }
         if (!outOfOrder) {
-            whole.writeBytes(begun.toByteArray());
+            complete.writeBytes(pending.toByteArray());
         }
-        begun.reset();
+        pending.reset();
     }
 
-    private void takeField(String text) {
+    private void parseField(String text) {
         if (text.startsWith(ID)) {
             checkId(text.substring(ID.length()).trim());
-        } else if (text.startsWith(DATA) && keepsData) {
+        } else if (text.startsWith(DATA) && collectData) {
             int from = text.startsWith(" ", DATA.length()) ? DATA.length() + 1 : DATA.length();
             data.writeBytes(text.substring(from).getBytes(StandardCharsets.UTF_8));
             data.write('\n');
@@ -90,7 +90,7 @@
             long id = Long.parseLong(text);
             outOfOrder |= lastId != Long.MIN_VALUE && id != lastId + 1;
             lastId = id;
-        } catch (NumberFormatException unusual) {
+        } catch (NumberFormatException e) {
             // Non-numeric ids have no order to check.
             lastId = Long.MIN_VALUE;
         }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/ForwardedHeaders.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/ForwardedHeaders.java
@@ -13,7 +13,7 @@
 
 /** Filters the headers that are forwarded between caller and runner; hop-by-hop headers are removed. */
 final class ForwardedHeaders {
-    private static final Set<String> ONE_CONNECTION = Set.of(
+    private static final Set<String> HOP_BY_HOP = Set.of(
             "connection",
             "keep-alive",
             "proxy-authenticate",
@@ -30,8 +30,8 @@
     private ForwardedHeaders() {}
 
     /** Returns the headers to forward to a runner, without those that callers must not set. */
-    static HttpHeaders toRunner(HttpHeaders headers, HeaderNames dialect) {
-        return copy(headers, dialect.reserved());
+    static HttpHeaders toRunner(HttpHeaders headers, HeaderNames headerNames) {
+        return copy(headers, headerNames.reserved());
     }
 
     /** Returns the headers to forward to a caller. */
@@ -40,26 +40,26 @@
     }
 
     /** Returns a {@code Retry-After} header with random jitter, which keeps rejected callers from retrying in step. */
-    static HttpHeaders comeBack(Duration after, RandomGenerator random) {
-        double seconds = after.toMillis() / 1000.0 * (1 + RelayLimits.COME_BACK_SPREAD * random.nextDouble());
+    static HttpHeaders retryAfter(Duration delay, RandomGenerator random) {
+        double seconds = delay.toMillis() / 1000.0 * (1 + RelayLimits.RETRY_JITTER * random.nextDouble());
         return DefaultHttpHeadersFactory.headersFactory()
                 .newHeaders()
                 .set("Retry-After", String.format(Locale.ROOT, "%.2f", seconds));
     }
 
-    private static HttpHeaders copy(HttpHeaders headers, Set<String> left) {
-        Set<String> named = named(headers.getAll("Connection"));
+    private static HttpHeaders copy(HttpHeaders headers, Set<String> excluded) {
+        Set<String> connectionOptions = connectionOptions(headers.getAll("Connection"));
         HttpHeaders copy = DefaultHttpHeadersFactory.headersFactory().newHeaders();
         headers.forEach(each -> {
             String name = each.getKey().toLowerCase(Locale.ROOT);
-            if (!ONE_CONNECTION.contains(name) && !left.contains(name) && !named.contains(name)) {
+            if (!HOP_BY_HOP.contains(name) && !excluded.contains(name) && !connectionOptions.contains(name)) {
                 copy.add(each.getKey(), each.getValue());
             }
         });
         return copy;
     }
 
-    private static Set<String> named(List<String> connection) {
+    private static Set<String> connectionOptions(List<String> connection) {
         return connection.stream()
                 .flatMap(each -> Arrays.stream(each.split(",")))
                 .map(each -> each.trim().toLowerCase(Locale.ROOT))
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/KeepAliveHeader.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/KeepAliveHeader.java
@@ -11,7 +11,7 @@
     private KeepAliveHeader() {}
 
     /** Returns the idle timeout that the header announces; empty for a missing header or parameter. */
-    static Optional<Duration> seconds(String value) {
+    static Optional<Duration> timeout(String value) {
         if (value == null) {
             return Optional.empty();
         }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/QueueWait.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/QueueWait.java
@@ -10,34 +10,35 @@
  */
 final class QueueWait {
     private final EventLoop loop;
-    private final Runnable lookAgain;
-    private LoopTimer heldTimer = () -> {};
-    private LoopTimer endTimer = () -> {};
-    private boolean nearlyOver;
+    private final Runnable retryPlacement;
+    private LoopTimer affinityTimer = () -> {};
+    private LoopTimer timeoutTimer = () -> {};
+    private boolean nearTimeout;
 
     /** Creates the timers without starting them; the given task retries the placement near the end of the wait. */
-    QueueWait(EventLoop loop, Runnable lookAgain) {
+    QueueWait(EventLoop loop, Runnable retryPlacement) {
         this.loop = loop;
-        this.lookAgain = lookAgain;
+        this.retryPlacement = retryPlacement;
     }
 
     /** Starts or restarts the wait; the given task runs on timeout unless the wait ends before. */
-    void begin(Duration patience, Runnable tooLong) {
-        end();
-        nearlyOver = false;
-        heldTimer = loop.schedule(Duration.ofMillis((long) (patience.toMillis() * RelayLimits.HELD_SHARE)), () -> {
-            nearlyOver = true;
-            lookAgain.run();
-        });
-        endTimer = loop.schedule(patience, tooLong);
+    void start(Duration timeout, Runnable onTimeout) {
+        cancel();
+        nearTimeout = false;
+        affinityTimer =
+                loop.schedule(Duration.ofMillis((long) (timeout.toMillis() * RelayLimits.AFFINITY_SHARE)), () -> {
+                    nearTimeout = true;
+                    retryPlacement.run();
+                });
+        timeoutTimer = loop.schedule(timeout, onTimeout);
     }
 
-    void end() {
-        heldTimer.cancel();
-        endTimer.cancel();
+    void cancel() {
+        affinityTimer.cancel();
+        timeoutTimer.cancel();
     }
 
-    boolean nearlyOver() {
-        return nearlyOver;
+    boolean isNearTimeout() {
+        return nearTimeout;
     }
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Relay.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Relay.java
@@ -19,13 +19,13 @@
     private final Registry registry;
     private final Dispatcher dispatcher;
     private final Conversations conversations;
-    private final QuotaTracker allotments;
-    private final RunnerConnections connections;
-    private final HeaderNames dialect;
+    private final QuotaTracker quotas;
+    private final RunnerConnectionPool connections;
+    private final HeaderNames headerNames;
     private final RandomGenerator random;
-    private final RelayMeters meters;
+    private final RelayMetrics metrics;
     private final List<RelayedRequest> awaitingManifest = new ArrayList<>();
-    private int open;
+    private int openRequests;
 
     /**
      * Creates a relay and subscribes it to changes of the registry.
@@ -35,8 +35,8 @@
      * @param registry source of the manifest and the runners
      * @param dispatcher assigns requests to runners
      * @param conversations client of the store VMs, which hold turns and token budgets
-     * @param allotments enforces the quotas of teams
-     * @param dialect names of the headers
+     * @param quotas enforces the quotas of teams
+     * @param headerNames names of the headers
      * @param random source of randomness for weighted destinations and jitter
      * @param meters registry for the relay's metrics
      */
@@ -46,29 +46,29 @@
             Registry registry,
             Dispatcher dispatcher,
             Conversations conversations,
-            QuotaTracker allotments,
-            HeaderNames dialect,
+            QuotaTracker quotas,
+            HeaderNames headerNames,
             RandomGenerator random,
             MeterRegistry meters) {
         this.loop = loop;
         this.registry = registry;
         this.dispatcher = dispatcher;
         this.conversations = conversations;
-        this.allotments = allotments;
-        this.connections = new RunnerConnections(threads, loop, dialect);
-        this.dialect = dialect;
+        this.quotas = quotas;
+        this.connections = new RunnerConnectionPool(threads, loop, headerNames);
+        this.headerNames = headerNames;
         this.random = random;
-        this.meters = new RelayMeters(meters);
+        this.metrics = new RelayMetrics(meters);
         registry.onChange(this::registryChanged);
     }
 
     @Override
-    public Runnable handle(CallerRequest request, CallerAnswer answer) {
-        Optional<RequestFacts> facts = RequestFacts.read(request.headers(), dialect);
+    public Runnable handle(CallerRequest request, CallerResponse answer) {
+        Optional<RequestParameters> facts = RequestParameters.parse(request.headers(), headerNames);
         RelayedRequest relayed = new RelayedRequest(this, request, facts, answer);
-        open++;
+        openRequests++;
         relayed.start();
-        return relayed::callerGone;
+        return relayed::handleDisconnect;
     }
 
     /**
@@ -77,7 +77,7 @@
      * @return number of requests
      */
     public int openRequests() {
-        return open;
+        return openRequests;
     }
 
     void awaitManifest(RelayedRequest request) {
@@ -88,14 +88,14 @@
         if (registry.manifest().isPresent() && !awaitingManifest.isEmpty()) {
             List<RelayedRequest> waiting = List.copyOf(awaitingManifest);
             awaitingManifest.clear();
-            waiting.stream().filter(RelayedRequest::starting).forEach(RelayedRequest::start);
+            waiting.stream().filter(RelayedRequest::isAwaitingManifest).forEach(RelayedRequest::start);
         }
         dispatcher.manifestChanged();
         dispatcher.runnersChanged();
     }
 
-    void ended() {
-        open--;
+    void requestEnded() {
+        openRequests--;
     }
 
     EventLoop loop() {
@@ -114,23 +114,23 @@
         return conversations;
     }
 
-    QuotaTracker allotments() {
-        return allotments;
+    QuotaTracker quotas() {
+        return quotas;
     }
 
-    RunnerConnections connections() {
+    RunnerConnectionPool connections() {
         return connections;
     }
 
-    HeaderNames dialect() {
-        return dialect;
+    HeaderNames headerNames() {
+        return headerNames;
     }
 
     RandomGenerator random() {
         return random;
     }
 
-    RelayMeters meters() {
-        return meters;
+    RelayMetrics metrics() {
+        return metrics;
     }
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayLimits.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayLimits.java
@@ -5,57 +5,57 @@
 /** Limits and timeouts of the processing of a request. */
 final class RelayLimits {
     /** Maximum queue wait, as a share of the remaining time. */
-    static final double QUEUE_SHARE = 0.35;
+    static final double MAX_QUEUE_SHARE = 0.35;
 
     /** Maximum queue wait. */
-    static final Duration QUEUE_MOST = Duration.ofMillis(900);
+    static final Duration MAX_QUEUE_WAIT = Duration.ofMillis(900);
 
     /** Share of the queue wait after which any free runner is acceptable, also one without the cached prompt. */
-    static final double HELD_SHARE = 0.8;
+    static final double AFFINITY_SHARE = 0.8;
 
     /** Maximum time for beginning a turn at the store VMs, as a share of the remaining time. */
-    static final double BEGIN_SHARE = 0.5;
+    static final double MAX_BEGIN_SHARE = 0.5;
 
     /** Maximum time for beginning a turn; covers an epoch change or a restart of the store VMs. */
-    static final Duration BEGIN_MOST = Duration.ofMillis(1400);
+    static final Duration MAX_BEGIN_TIME = Duration.ofMillis(1400);
 
     /** Maximum time for committing a stored turn, without which its response must not be completed. */
-    static final Duration COMMIT_MOST = Duration.ofMillis(2500);
+    static final Duration MAX_COMMIT_TIME = Duration.ofMillis(2500);
 
     /** Maximum time for settling the tokens of a turn that is not stored; continues in the background. */
-    static final Duration SETTLE_WAIT = Duration.ofMillis(250);
+    static final Duration MAX_SETTLE_TIME = Duration.ofMillis(250);
 
     /**
      * Maximum wait for the first manifest at a starting node; an immediate rejection would use up the callers' retries.
      */
-    static final Duration START_WAIT = Duration.ofMillis(800);
+    static final Duration MAX_MANIFEST_WAIT = Duration.ofMillis(800);
 
     /** Maximum wait for the first manifest, as a share of the caller's deadline. */
-    static final double START_SHARE = 0.3;
+    static final double MAX_MANIFEST_SHARE = 0.3;
 
     /** Retry delay if the node has no manifest yet. */
-    static final Duration COME_BACK_START = Duration.ofMillis(200);
+    static final Duration RETRY_DELAY_NO_MANIFEST = Duration.ofMillis(200);
 
     /** Retry delay if the manifest may be outdated. */
-    static final Duration COME_BACK_MANIFEST = Duration.ofSeconds(1);
+    static final Duration RETRY_DELAY_OLD_MANIFEST = Duration.ofSeconds(1);
 
     /** Retry delay if the store VMs are unavailable. */
-    static final Duration COME_BACK_STORES = Duration.ofMillis(250);
+    static final Duration RETRY_DELAY_STORES_UNAVAILABLE = Duration.ofMillis(250);
 
     /** Retry delay if no runner has a free slot. */
-    static final Duration COME_BACK_FULL = Duration.ofMillis(300);
+    static final Duration RETRY_DELAY_NO_SLOT = Duration.ofMillis(300);
 
     /** Retry delay if the node has no usage reports from peers. */
-    static final Duration COME_BACK_ALONE = Duration.ofMillis(300);
+    static final Duration RETRY_DELAY_NO_PEERS = Duration.ofMillis(300);
 
     /** Maximum jitter, as a share of the retry delay. */
-    static final double COME_BACK_SPREAD = 0.5;
+    static final double RETRY_JITTER = 0.5;
 
     /** Maximum number of runners that one request is sent to before it is rejected as not run. */
-    static final int MOST_OFFERS = 6;
+    static final int MAX_ATTEMPTS = 6;
 
     /** Maximum size of a response that is buffered until it is complete, bytes. */
-    static final int MOST_HELD_BYTES = 8 << 20;
+    static final int MAX_BUFFERED_BYTES = 8 << 20;
 
     private RelayLimits() {}
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayMeters.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayMetrics.java
@@ -8,16 +8,16 @@
 import java.util.Map;
 
 /** Metrics of the relay: request counters by outcome and cause, and timers of the phases of a request. */
-final class RelayMeters {
+final class RelayMetrics {
     private final MeterRegistry registry;
     private final Map<String, Counter> outcomes = new HashMap<>();
     private final Map<String, Timer> phases = new HashMap<>();
 
-    RelayMeters(MeterRegistry registry) {
+    RelayMetrics(MeterRegistry registry) {
         this.registry = registry;
     }
 
-    void ended(String outcome, String cause) {
+    void recordOutcome(String outcome, String cause) {
         outcomes.computeIfAbsent(
                         outcome + '/' + cause,
                         any -> Counter.builder("parsleydrift.requests")
@@ -27,7 +27,7 @@
                 .increment();
     }
 
-    void phase(String phase, Duration time) {
+    void recordPhase(String phase, Duration time) {
         phases.computeIfAbsent(
                         phase,
                         any -> Timer.builder("parsleydrift.phase")
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
@@ -24,42 +24,43 @@
  * <i>not run</i>, reported only if no runner can have started it; the response of a runner; and <i>unknown</i>
  * otherwise.
  */
-final class RelayedRequest implements Waiter {
+final class RelayedRequest implements QueuedRequest {
     private static final Logger LOG = System.getLogger(RelayedRequest.class.getName());
     private static final String ANSWERED = "answered";
     private static final String DENIED = "denied";
-    private static final String OVER_ALLOTMENT = "team quota exhausted";
+    private static final String QUOTA_EXHAUSTED = "team quota exhausted";
 
     private final Relay relay;
     private final CallerRequest request;
-    private final CallerAnswer caller;
-    private final RequestFacts facts;
+    private final CallerResponse callerResponse;
+    private final RequestParameters parameters;
     private final long startNanos;
     private final QueueWait queueWait;
-    private final Tries tries = new Tries();
-    private RequestStage stage = RequestStage.MATCHED;
+    private final Attempts attempts = new Attempts();
+    private RequestStage stage = RequestStage.MATCHING;
     private long manifestVersion;
     private Route route;
-    private TeamClaim claim;
+    private RequestTeam team;
     private String service = "";
-    private long endNanos;
-    private LoopTimer timeout = () -> {};
-    private LoopTimer startTimer = () -> {};
-    private LoopTimer silenceTimer = () -> {};
+    private long deadlineNanos;
+    private LoopTimer deadlineTimer = () -> {};
+    private LoopTimer manifestTimer = () -> {};
+    private LoopTimer latencyTimer = () -> {};
     private Optional<TurnRecord> turn = Optional.empty();
-    private List<CachedPart> heard = List.of();
-    private boolean chained;
+    private List<CachedPart> reportedParts = List.of();
+    private boolean hasHistory;
     private byte[] body;
     private RunnerExchange exchange;
 
-    RelayedRequest(Relay relay, CallerRequest request, Optional<RequestFacts> facts, CallerAnswer caller) {
+    RelayedRequest(
+            Relay relay, CallerRequest request, Optional<RequestParameters> parameters, CallerResponse callerResponse) {
         this.relay = relay;
         this.request = request;
-        this.caller = caller;
-        this.facts = facts.orElse(null);
+        this.callerResponse = callerResponse;
+        this.parameters = parameters.orElse(null);
         this.startNanos = relay.loop().clock().nanos();
         this.body = request.body();
-        this.claim = new TeamClaim(relay, request, Optional.empty(), "");
+        this.team = new RequestTeam(relay, request, Optional.empty(), "");
         this.queueWait = new QueueWait(relay.loop(), relay.dispatcher()::dispatch);
     }
 
@@ -69,97 +70,99 @@
             waitForManifest();
             return;
         }
-        stage = RequestStage.MATCHED;
+        stage = RequestStage.MATCHING;
         manifestVersion = manifest.get().version();
         boolean current = relay.registry().isManifestCurrent();
-        switch (RequestMatch.of(manifest.get(), current, request, facts != null, relay.dialect())) {
-            case RequestMatch.Denied denied -> own(denied.status(), DENIED, denied.reason());
-            case RequestMatch.Unsure unsure -> refuse(unsure.reason(), RelayLimits.COME_BACK_MANIFEST);
-            case RequestMatch.Found found -> matched(found);
+        switch (RequestMatch.of(manifest.get(), current, request, parameters != null, relay.headerNames())) {
+            case RequestMatch.Denied denied -> respond(denied.status(), DENIED, denied.reason());
+            case RequestMatch.Undetermined unsure -> refuse(unsure.reason(), RelayLimits.RETRY_DELAY_OLD_MANIFEST);
+            case RequestMatch.Found found -> handleMatch(found);
         }
     }
 
-    private void matched(RequestMatch.Found found) {
+    private void handleMatch(RequestMatch.Found found) {
         route = found.route();
-        claim = new TeamClaim(relay, request, found.team(), found.owner());
+        team = new RequestTeam(relay, request, found.team(), found.owner());
         service = route.selectDestination(relay.random().nextDouble());
-        long most = Math.min(
+        long timeoutMillis = Math.min(
                 route.timeout().toMillis(),
-                facts.deadlineMillis().orElse(route.timeout().toMillis()));
-        endNanos = startNanos + Duration.ofMillis(most).toNanos();
-        timeout = relay.loop().schedule(Duration.ofMillis(leftMillis()), this::timedOut);
-        Optional<Duration> full = claim.full();
-        if (full.isPresent()) {
-            refuse(429, OVER_ALLOTMENT, full.get());
-        } else if (facts.turnOn(route)) {
-            begin();
+                parameters.deadlineMillis().orElse(route.timeout().toMillis()));
+        deadlineNanos = startNanos + Duration.ofMillis(timeoutMillis).toNanos();
+        deadlineTimer = relay.loop().schedule(Duration.ofMillis(remainingMillis()), this::handleDeadline);
+        Optional<Duration> retryDelay = team.quotaRetryDelay();
+        if (retryDelay.isPresent()) {
+            refuse(429, QUOTA_EXHAUSTED, retryDelay.get());
+        } else if (parameters.isTurn(route)) {
+            beginTurn();
         } else {
             admit();
         }
     }
 
     private void admit() {
-        switch (claim.ask(underWay(), !facts.program().isEmpty())) {
-            case QuotaDecision.Allowed ignored -> queue();
-            case QuotaDecision.Exceeded over -> refuse(429, OVER_ALLOTMENT, over.retryAfter());
+        switch (team.acquireQuota(isInProgress(), !parameters.program().isEmpty())) {
+            case QuotaDecision.Allowed ignored -> enqueue();
+            case QuotaDecision.Exceeded over -> refuse(429, QUOTA_EXHAUSTED, over.retryAfter());
             case QuotaDecision.Undetermined ignored ->
-                refuse("no usage reports from peers", RelayLimits.COME_BACK_ALONE);
+                refuse("no usage reports from peers", RelayLimits.RETRY_DELAY_NO_PEERS);
         }
     }
 
     @Override
     public void manifestChanged() {
-        if (stage == RequestStage.WAITING
-                && claim.takenAway()
+        if (stage == RequestStage.QUEUED
+                && team.isKeyRevoked()
                 && relay.dispatcher().withdraw(this)) {
-            keyTakenAway();
+            rejectRevokedKey();
         }
     }
 
     /** Ends a queued request whose key was revoked; a manifest that may be outdated does not prove the revocation. */
-    private void keyTakenAway() {
-        if (tries.mayHaveRun()) {
-            own(502, "unknown", "an earlier attempt may have run; key revoked");
+    private void rejectRevokedKey() {
+        if (attempts.mayHaveRun()) {
+            respond(502, "unknown", "an earlier attempt may have run; key revoked");
         } else if (relay.registry().isManifestCurrent()) {
-            claim.giveBack();
-            own(401, DENIED, "key_taken_away");
+            team.refundQuota();
+            respond(401, DENIED, "key_taken_away");
         } else {
-            refuse("key missing in a manifest that may be outdated", RelayLimits.COME_BACK_MANIFEST);
+            refuse("key missing in a manifest that may be outdated", RelayLimits.RETRY_DELAY_OLD_MANIFEST);
         }
     }
 
     /** Returns whether the request waits for the node's first manifest. */
-    boolean starting() {
-        return stage == RequestStage.STARTING;
+    boolean isAwaitingManifest() {
+        return stage == RequestStage.AWAITING_MANIFEST;
     }
 
     private void waitForManifest() {
-        stage = RequestStage.STARTING;
-        long left = facts == null ? 0 : facts.deadlineMillis().orElse(RelayLimits.START_WAIT.toMillis());
-        long most = Math.min((long) (left * RelayLimits.START_SHARE), RelayLimits.START_WAIT.toMillis());
-        startTimer = relay.loop().schedule(Duration.ofMillis(most), () -> {
-            if (starting()) {
-                refuse("no manifest received yet", RelayLimits.COME_BACK_START);
+        stage = RequestStage.AWAITING_MANIFEST;
+        long remaining =
+                parameters == null ? 0 : parameters.deadlineMillis().orElse(RelayLimits.MAX_MANIFEST_WAIT.toMillis());
+        long waitMillis =
+                Math.min((long) (remaining * RelayLimits.MAX_MANIFEST_SHARE), RelayLimits.MAX_MANIFEST_WAIT.toMillis());
+        manifestTimer = relay.loop().schedule(Duration.ofMillis(waitMillis), () -> {
+            if (isAwaitingManifest()) {
+                refuse("no manifest received yet", RelayLimits.RETRY_DELAY_NO_MANIFEST);
             }
         });
         relay.awaitManifest(this);
     }
 
     /** Cancels the request after its caller has disconnected; a turn that is being committed is completed. */
-    void callerGone() {
+    void handleDisconnect() {
         if (stage == RequestStage.ENDED || stage == RequestStage.COMMITTING) {
             return;
         }
-        boolean neverOffered = exchange == null;
+        boolean neverAssigned = exchange == null;
         if (exchange != null) {
             exchange.cancel();
         }
         relay.dispatcher().withdraw(this);
-        if (neverOffered) {
-            releaseGrant();
-            claim.giveBack();
+        if (neverAssigned) {
+            releaseReservation();
+            team.refundQuota();
         }
-        finish("caller_left", neverOffered ? "before_offer" : "after_offer");
+        finish("caller_left", neverAssigned ? "before_offer" : "after_offer");
     }
 
     @Override
@@ -169,59 +172,59 @@
 
     @Override
     public List<PromptPart> prompt() {
-        return facts.prompt();
+        return parameters.prompt();
     }
 
     @Override
-    public List<CachedPart> heard() {
-        return heard;
+    public List<CachedPart> reportedParts() {
+        return reportedParts;
     }
 
     @Override
-    public Set<String> avoided() {
-        return tries.avoided();
+    public Set<String> excludedRunners() {
+        return attempts.excludedRunners();
     }
 
     @Override
-    public boolean anywhere() {
-        return queueWait.nearlyOver();
+    public boolean acceptsAnyRunner() {
+        return queueWait.isNearTimeout();
     }
 
     @Override
     public int priority() {
-        return claim.priority(route);
+        return team.priority(route);
     }
 
     @Override
-    public boolean underWay() {
-        return !heard.isEmpty()
-                || chained
-                || (!facts.turnOn(route) && !facts.program().isEmpty());
+    public boolean isInProgress() {
+        return !reportedParts.isEmpty()
+                || hasHistory
+                || (!parameters.isTurn(route) && !parameters.program().isEmpty());
     }
 
     @Override
-    public void offered(Candidate chosen) {
+    public void assign(Candidate chosen) {
         Runner runner = chosen.runner();
-        queueWait.end();
-        stage = RequestStage.OFFERED;
-        tries.offered();
+        queueWait.cancel();
+        stage = RequestStage.ASSIGNED;
+        attempts.recordAttempt();
         LOG.log(
                 Logger.Level.INFO,
-                () -> line("request_placed")
+                () -> logLine("request_placed")
                         .with("runner", runner.incarnation())
                         .with("load", chosen.load())
                         .with("slots", runner.slots())
-                        .with("prompt", facts.promptTokens())
+                        .with("prompt", parameters.promptTokens())
                         .with("missing", chosen.uncachedTokens())
-                        .with("offer", tries.offers())
+                        .with("offer", attempts.count())
                         .with("manifest", manifestVersion)
                         .toString());
-        relay.meters().phase("wait", elapsed());
-        if (tries.offers() == 1) {
-            relay.dispatcher().retries(service).recordFirstAttempt();
+        relay.metrics().recordPhase("wait", elapsed());
+        if (attempts.count() == 1) {
+            relay.dispatcher().retryBudget(service).recordFirstAttempt();
         }
         exchange = new RunnerExchange(this, relay, runner, route.isStreaming(), route.stateful());
-        limitSilence(runner, exchange);
+        scheduleLatencyTimeout(runner, exchange);
         // Must come last: a pooled connection may fail at once, and the request is then queued again from within this
         // call.
         exchange.start();
@@ -230,227 +233,242 @@
     /**
      * Schedules a retry of an idempotent call whose response does not arrive within the target latency of its route.
      */
-    private void limitSilence(Runner runner, RunnerExchange offered) {
-        silenceTimer.cancel();
-        if (!route.isStreaming() && !route.targetLatency().isZero() && mayRunAgain()) {
-            silenceTimer = relay.loop().schedule(route.targetLatency(), () -> silent(runner, offered));
+    private void scheduleLatencyTimeout(Runner runner, RunnerExchange attempt) {
+        latencyTimer.cancel();
+        if (!route.isStreaming() && !route.targetLatency().isZero() && canRetry()) {
+            latencyTimer = relay.loop().schedule(route.targetLatency(), () -> handleLatencyTimeout(runner, attempt));
         }
     }
 
     /** Returns the time until the deadline of the request, ms; 0 once it has passed. */
-    long leftMillis() {
-        return Math.max(0, (endNanos - relay.loop().clock().nanos()) / 1_000_000);
+    long remainingMillis() {
+        return Math.max(0, (deadlineNanos - relay.loop().clock().nanos()) / 1_000_000);
     }
 
-    CallerAnswer caller() {
-        return caller;
+    CallerResponse callerResponse() {
+        return callerResponse;
     }
 
     RunnerRequest runnerRequest(Runner runner) {
         return RunnerRequest.of(
-                request, facts, claim.team(), relay.dialect(), runner, leftMillis(), body, route.isRetriable());
+                request,
+                parameters,
+                team.team(),
+                relay.headerNames(),
+                runner,
+                remainingMillis(),
+                body,
+                route.isRetriable());
     }
 
     /** Handles an attempt that certainly did not start the request at the runner. */
-    void notRun(Runner runner, String reason) {
+    void handleNotRun(Runner runner, String reason) {
         exchange = null;
-        tries.notRunAt(runner.incarnation());
+        attempts.recordNotRun(runner.incarnation());
         LOG.log(
                 Logger.Level.INFO,
-                () -> line("not_run_at_runner")
+                () -> logLine("not_run_at_runner")
                         .with("runner", runner.incarnation())
                         .with("reason", reason)
                         .toString());
-        if (tries.mayBeOffered(relay.dispatcher().runners(service))) {
-            queue();
-        } else if (tries.mayHaveRun()) {
+        if (attempts.canBeSent(relay.dispatcher().runners(service))) {
+            enqueue();
+        } else if (attempts.mayHaveRun()) {
             // "Not executed" by this runner says nothing about an earlier one, which may have run the request.
-            own(502, "unknown", "an earlier attempt may have run; " + reason);
+            respond(502, "unknown", "an earlier attempt may have run; " + reason);
         } else {
-            refuse(reason, RelayLimits.COME_BACK_FULL);
+            refuse(reason, RelayLimits.RETRY_DELAY_NO_SLOT);
         }
     }
 
-    private void silent(Runner runner, RunnerExchange offered) {
-        if (stage == RequestStage.OFFERED
-                && exchange == offered
-                && relay.dispatcher().retries(service).tryAcquire()) {
-            offered.cancel();
+    private void handleLatencyTimeout(Runner runner, RunnerExchange attempt) {
+        if (stage == RequestStage.ASSIGNED
+                && exchange == attempt
+                && relay.dispatcher().retryBudget(service).tryAcquire()) {
+            attempt.cancel();
             relay.dispatcher()
                     .health(runner.incarnation())
                     .recordBrokenResponse(relay.loop().clock().nanos());
-            sendAgain(runner, "no response within the route's target latency");
+            retry(runner, "no response within the route's target latency");
         }
     }
 
     /** Handles a missing response of a runner that may have started the request. Nothing was sent to the caller yet. */
-    void unknown(Runner runner, String reason) {
-        if (mayRunAgain() && relay.dispatcher().retries(service).tryAcquire()) {
-            sendAgain(runner, reason);
+    void handleUnknown(Runner runner, String reason) {
+        if (canRetry() && relay.dispatcher().retryBudget(service).tryAcquire()) {
+            retry(runner, reason);
         } else {
-            tries.mayHaveRunAt(runner.incarnation());
-            own(502, "unknown", reason);
+            attempts.recordPossibleRun(runner.incarnation());
+            respond(502, "unknown", reason);
         }
     }
 
-    private boolean mayRunAgain() {
-        return route.isRetriable() && tries.anotherAllowed(route.maxAttempts()) && leftMillis() > 0 && hasOtherRunner();
+    private boolean canRetry() {
+        return route.isRetriable()
+                && attempts.isRetryAllowed(route.maxAttempts())
+                && remainingMillis() > 0
+                && hasOtherRunner();
     }
 
     private boolean hasOtherRunner() {
-        return tries.anyLeft(relay.dispatcher().runners(service).stream()
-                .filter(each -> !exchange.runnerLife().equals(each.incarnation()))
+        return attempts.hasUntried(relay.dispatcher().runners(service).stream()
+                .filter(each -> !exchange.incarnation().equals(each.incarnation()))
                 .toList());
     }
 
-    private void sendAgain(Runner runner, String reason) {
+    private void retry(Runner runner, String reason) {
         exchange = null;
-        claim.again();
-        tries.mayHaveRunAt(runner.incarnation());
+        team.chargeQuotaAgain();
+        attempts.recordPossibleRun(runner.incarnation());
         LOG.log(
                 Logger.Level.INFO,
-                () -> line("sent_again")
+                () -> logLine("sent_again")
                         .with("runner", runner.incarnation())
                         .with("reason", reason)
                         .toString());
-        queue();
+        enqueue();
     }
 
     /** Aborts a stream after its start, so that the caller recognizes it as incomplete. */
-    void streamBroken(String reason) {
-        caller.abort();
+    void abortStream(String reason) {
+        callerResponse.abort();
         finish("stream_cut", reason);
     }
 
     /** Forwards a complete response that is not a stream. */
-    void answered(Runner runner, int status, HttpHeaders headers, byte[] bytes) {
-        caller.whole(status, ForwardedHeaders.toCaller(headers), bytes);
+    void completeResponse(Runner runner, int status, HttpHeaders headers, byte[] bytes) {
+        callerResponse.sendFull(status, ForwardedHeaders.toCaller(headers), bytes);
         turn.ifPresent(each -> each.settle(runner.incarnation(), 0));
         finish(ANSWERED, String.valueOf(status));
     }
 
     /** Commits the turn of a complete stream and forwards the end of the stream once the turn is durable. */
-    void streamEnded(Runner runner, EventStreamReader events) {
+    void commitStream(Runner runner, EventStreamReader events) {
         stage = RequestStage.COMMITTING;
-        long begun = relay.loop().clock().nanos();
-        turn.map(each -> each.end(runner.incarnation(), service, request.body(), events, leftMillis()))
+        long commitStartNanos = relay.loop().clock().nanos();
+        turn.map(each -> each.complete(runner.incarnation(), service, request.body(), events, remainingMillis()))
                 .orElseGet(() -> CompletableFuture.completedFuture(null))
-                .whenComplete((done, failure) -> relay.loop().execute(() -> committed(begun, failure)));
+                .whenComplete((done, failure) -> relay.loop().execute(() -> handleCommit(commitStartNanos, failure)));
     }
 
-    private void committed(long commitBegunNanos, Throwable failure) {
+    private void handleCommit(long commitStartNanos, Throwable failure) {
         if (failure == null) {
-            endStream(commitBegunNanos);
+            endStream(commitStartNanos);
         } else if (stage != RequestStage.ENDED) {
             LOG.log(
                     Logger.Level.WARNING,
-                    () -> line("commit_failed").failure(failure).toString());
-            streamBroken("commit_failed");
+                    () -> logLine("commit_failed").failure(failure).toString());
+            abortStream("commit_failed");
         }
     }
 
-    private void endStream(long commitBegunNanos) {
+    private void endStream(long commitStartNanos) {
         if (stage == RequestStage.ENDED) {
             return;
         }
-        relay.meters().phase("commit", Duration.ofNanos(relay.loop().clock().nanos() - commitBegunNanos));
-        caller.endStream();
+        relay.metrics()
+                .recordPhase("commit", Duration.ofNanos(relay.loop().clock().nanos() - commitStartNanos));
+        callerResponse.endStream();
         finish(ANSWERED, "stream");
     }
 
-    private void begin() {
+    private void beginTurn() {
         stage = RequestStage.BEGINNING;
-        TurnRecord record = new TurnRecord(relay, facts, route, claim.owner());
+        TurnRecord record = new TurnRecord(relay, parameters, route, team.owner());
         turn = Optional.of(record);
-        record.begin(share(RelayLimits.BEGIN_SHARE, RelayLimits.BEGIN_MOST)).thenAccept(this::begun);
+        record.begin(boundedShare(RelayLimits.MAX_BEGIN_SHARE, RelayLimits.MAX_BEGIN_TIME))
+                .thenAccept(this::handleBegin);
     }
 
-    private void begun(BeginResult result) {
+    private void handleBegin(BeginResult result) {
         if (stage != RequestStage.BEGINNING) {
-            releaseGrant();
+            releaseReservation();
             return;
         }
-        relay.meters().phase("begin", elapsed());
+        relay.metrics().recordPhase("begin", elapsed());
         switch (result) {
-            case BeginResult.Granted grantedTurn -> {
-                heard = grantedTurn.settled().stream()
+            case BeginResult.Granted granted -> {
+                reportedParts = granted.settled().stream()
                         .map(each -> new CachedPart(each.runner(), each.promptPart(), each.cachedTokens()))
                         .toList();
-                chained = !grantedTurn.chain().isEmpty();
-                body = ChainText.assemble(grantedTurn.chain(), request.body());
+                hasHistory = !granted.chain().isEmpty();
+                body = ConversationInput.assemble(granted.chain(), request.body());
                 admit();
             }
-            case BeginResult.BudgetSpent ignored -> own(402, DENIED, "budget_spent");
-            case BeginResult.NoSuchTurn ignored -> own(404, DENIED, "no_such_turn");
+            case BeginResult.BudgetSpent ignored -> respond(402, DENIED, "budget_spent");
+            case BeginResult.NoSuchTurn ignored -> respond(404, DENIED, "no_such_turn");
             case BeginResult.Unavailable unavailable ->
-                refuse("store VMs unavailable: " + unavailable.reason(), RelayLimits.COME_BACK_STORES);
+                refuse("store VMs unavailable: " + unavailable.reason(), RelayLimits.RETRY_DELAY_STORES_UNAVAILABLE);
         }
     }
 
-    private void queue() {
-        if (claim.takenAway()) {
-            keyTakenAway();
+    private void enqueue() {
+        if (team.isKeyRevoked()) {
+            rejectRevokedKey();
             return;
         }
-        stage = RequestStage.WAITING;
-        queueWait.begin(share(RelayLimits.QUEUE_SHARE, RelayLimits.QUEUE_MOST), this::waitedTooLong);
+        stage = RequestStage.QUEUED;
+        queueWait.start(
+                boundedShare(RelayLimits.MAX_QUEUE_SHARE, RelayLimits.MAX_QUEUE_WAIT), this::handleQueueTimeout);
         relay.dispatcher().submit(this);
     }
 
-    private void waitedTooLong() {
-        if (stage == RequestStage.WAITING && relay.dispatcher().withdraw(this)) {
-            if (tries.mayHaveRun()) {
-                own(502, "unknown", "an earlier attempt may have run; no other runner had a free slot");
+    private void handleQueueTimeout() {
+        if (stage == RequestStage.QUEUED && relay.dispatcher().withdraw(this)) {
+            if (attempts.mayHaveRun()) {
+                respond(502, "unknown", "an earlier attempt may have run; no other runner had a free slot");
             } else {
-                refuse("no runner had a free slot", RelayLimits.COME_BACK_FULL);
+                refuse("no runner had a free slot", RelayLimits.RETRY_DELAY_NO_SLOT);
             }
         }
     }
 
-    private void timedOut() {
+    private void handleDeadline() {
         switch (stage) {
-            case ENDED, STARTING, MATCHED -> {}
-            case BEGINNING -> refuse("deadline passed before the turn began", RelayLimits.COME_BACK_STORES);
-            case WAITING -> {
+            case ENDED, AWAITING_MANIFEST, MATCHING -> {}
+            case BEGINNING ->
+                refuse("deadline passed before the turn began", RelayLimits.RETRY_DELAY_STORES_UNAVAILABLE);
+            case QUEUED -> {
                 relay.dispatcher().withdraw(this);
-                if (tries.mayHaveRun()) {
-                    own(504, "timeout", "after an unknown try");
+                if (attempts.mayHaveRun()) {
+                    respond(504, "timeout", "after an unknown try");
                 } else {
-                    refuse("deadline passed while waiting for a runner", RelayLimits.COME_BACK_FULL);
+                    refuse("deadline passed while waiting for a runner", RelayLimits.RETRY_DELAY_NO_SLOT);
                 }
             }
-            case OFFERED -> {
-                boolean begun = exchange.streamBegun();
+            case ASSIGNED -> {
+                boolean streamBegun = exchange.streamBegun();
                 exchange.cancel();
-                if (begun) {
-                    streamBroken("timeout");
+                if (streamBegun) {
+                    abortStream("timeout");
                 } else {
-                    own(504, "timeout", "at the runner");
+                    respond(504, "timeout", "at the runner");
                 }
             }
-            case COMMITTING -> streamBroken("timeout");
+            case COMMITTING -> abortStream("timeout");
         }
     }
 
     /** Rejects the request as not run; only if no runner can have started it or will. */
-    private void refuse(String reason, Duration comeBack) {
-        refuse(503, reason, comeBack);
+    private void refuse(String reason, Duration retryDelay) {
+        refuse(503, reason, retryDelay);
     }
 
-    private void refuse(int status, String reason, Duration comeBack) {
-        HttpHeaders headers = ForwardedHeaders.comeBack(comeBack, relay.random());
-        caller.whole(status, headers, new byte[0]);
-        releaseGrant();
-        claim.giveBack();
+    private void refuse(int status, String reason, Duration retryDelay) {
+        HttpHeaders headers = ForwardedHeaders.retryAfter(retryDelay, relay.random());
+        callerResponse.sendFull(status, headers, new byte[0]);
+        releaseReservation();
+        team.refundQuota();
         finish("refused", reason);
     }
 
-    private void own(int status, String outcome, String reason) {
-        caller.whole(status, DefaultHttpHeadersFactory.headersFactory().newHeaders(), new byte[0]);
+    private void respond(int status, String outcome, String reason) {
+        callerResponse.sendFull(
+                status, DefaultHttpHeadersFactory.headersFactory().newHeaders(), new byte[0]);
         finish(outcome, reason);
     }
 
-    private void releaseGrant() {
+    private void releaseReservation() {
         turn.ifPresent(TurnRecord::release);
     }
 
@@ -460,36 +478,36 @@
         }
         stage = RequestStage.ENDED;
         if (!outcome.equals(ANSWERED)) {
-            int passedOn = exchange == null ? 0 : exchange.eventsPassedOn();
-            turn.ifPresent(each -> each.brokeOff(passedOn, service));
+            int forwardedEvents = exchange == null ? 0 : exchange.forwardedEvents();
+            turn.ifPresent(each -> each.settleAborted(forwardedEvents, service));
         }
-        timeout.cancel();
-        startTimer.cancel();
-        queueWait.end();
-        silenceTimer.cancel();
-        relay.ended();
-        relay.meters().ended(outcome, outcome.equals("refused") || outcome.equals("unknown") ? "-" : cause);
-        relay.meters().phase("whole", elapsed());
+        deadlineTimer.cancel();
+        manifestTimer.cancel();
+        queueWait.cancel();
+        latencyTimer.cancel();
+        relay.requestEnded();
+        relay.metrics().recordOutcome(outcome, outcome.equals("refused") || outcome.equals("unknown") ? "-" : cause);
+        relay.metrics().recordPhase("whole", elapsed());
         LOG.log(
                 Logger.Level.INFO,
-                () -> line("request_ended")
+                () -> logLine("request_ended")
                         .with("outcome", outcome)
                         .with("cause", cause)
                         .with("ms", elapsed().toMillis())
-                        .with("offers", tries.offers())
+                        .with("offers", attempts.count())
                         .with("manifest", manifestVersion)
                         .toString());
     }
 
-    private LogLine line(String event) {
+    private LogLine logLine(String event) {
         return LogLine.of(event)
-                .with("request", facts == null ? "-" : facts.id())
-                .with("program", facts == null ? "-" : facts.program())
+                .with("request", parameters == null ? "-" : parameters.id())
+                .with("program", parameters == null ? "-" : parameters.program())
                 .with("route", route == null ? "-" : route.name());
     }
 
-    private Duration share(double share, Duration most) {
-        return Duration.ofMillis(Math.min((long) (leftMillis() * share), most.toMillis()));
+    private Duration boundedShare(double share, Duration most) {
+        return Duration.ofMillis(Math.min((long) (remainingMillis() * share), most.toMillis()));
     }
 
     private Duration elapsed() {
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestMatch.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestMatch.java
@@ -31,42 +31,48 @@
      *
      * @param reason reason for logs
      */
-    record Unsure(String reason) implements RequestMatch {}
+    record Undetermined(String reason) implements RequestMatch {}
 
     /**
      * Matches a request. Callers do not retry after a missing route or key, so neither is reported under a manifest
      * that may be outdated.
      *
      * @param manifest the manifest in force
-     * @param current whether the manifest is known to be the latest
+     * @param manifestCurrent whether the manifest is known to be the latest
      * @param request the request
-     * @param readable whether its headers are well-formed
-     * @param dialect names of the headers
+     * @param headersValid whether its headers are well-formed
+     * @param headerNames names of the headers
      * @return the result
      */
     static RequestMatch of(
-            RoutingManifest manifest, boolean current, CallerRequest request, boolean readable, HeaderNames dialect) {
+            RoutingManifest manifest,
+            boolean manifestCurrent,
+            CallerRequest request,
+            boolean headersValid,
+            HeaderNames headerNames) {
         Optional<Route> route = manifest.match(request.host(), request.target());
         if (route.isEmpty()) {
-            return current
+            return manifestCurrent
                     ? new Denied(404, "no_route")
-                    : new Unsure("no matching route in a manifest that may be outdated");
+                    : new Undetermined("no matching route in a manifest that may be outdated");
         }
-        List<String> keys = request.headers().getAll(dialect.key());
-        if (!readable || keys.size() > 1) {
-            return new Denied(400, readable ? "two_keys" : "bad_headers");
+        List<String> keys = request.headers().getAll(headerNames.key());
+        if (!headersValid || keys.size() > 1) {
+            return new Denied(400, headersValid ? "two_keys" : "bad_headers");
         }
         if (manifest.teams().isEmpty()) {
             return new Found(route.get(), Optional.empty(), "");
         }
         if (route.get().anonymousAllowed()) {
-            return new Found(route.get(), Optional.empty(), owner(""));
+            return new Found(route.get(), Optional.empty(), ownerPrefix(""));
         }
-        Optional<Team> team = holder(manifest.teams().get(), keys);
+        Optional<Team> team = findTeam(manifest.teams().get(), keys);
         if (team.isPresent()) {
-            return new Found(route.get(), team, owner(team.get().name()));
+            return new Found(route.get(), team, ownerPrefix(team.get().name()));
         }
-        return current ? new Denied(401, "unknown_key") : new Unsure("unknown key in a manifest that may be outdated");
+        return manifestCurrent
+                ? new Denied(401, "unknown_key")
+                : new Undetermined("unknown key in a manifest that may be outdated");
     }
 
     /**
@@ -74,19 +80,20 @@
      *
      * @param manifest the manifest to look in
      * @param request the request
-     * @param dialect names of the headers
+     * @param headerNames names of the headers
      * @return the team; empty if there is no key or no team owns it
      */
-    static Optional<Team> holder(RoutingManifest manifest, CallerRequest request, HeaderNames dialect) {
-        return manifest.teams().flatMap(teams -> holder(teams, request.headers().getAll(dialect.key())));
+    static Optional<Team> findTeam(RoutingManifest manifest, CallerRequest request, HeaderNames headerNames) {
+        return manifest.teams()
+                .flatMap(teams -> findTeam(teams, request.headers().getAll(headerNames.key())));
     }
 
-    private static Optional<Team> holder(TeamKeys teams, List<String> keys) {
+    private static Optional<Team> findTeam(TeamKeys teams, List<String> keys) {
         return keys.stream().findFirst().flatMap(teams::team);
     }
 
     /** Returns the owner prefix; the length of the name keeps the prefixes of different teams from overlapping. */
-    private static String owner(String team) {
+    private static String ownerPrefix(String team) {
         return team.length() + ":" + team + ":";
     }
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestFacts.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestParameters.java
@@ -17,20 +17,20 @@
  * @param deadlineMillis time that the caller waits, ms; empty if not specified
  * @param program id of the program; the empty string for none
  * @param budget token budget of the program; empty if not specified
- * @param mostTokens maximum number of tokens that the turn generates; 0 if not specified
+ * @param maxTokens maximum number of tokens that the turn generates; 0 if not specified
  * @param previousTurn id of the turn that this turn continues; the empty string for none
  * @param prompt parts of the prompt in order; empty if there is none
  */
-record RequestFacts(
+record RequestParameters(
         String id,
         OptionalLong deadlineMillis,
         String program,
         OptionalInt budget,
-        int mostTokens,
+        int maxTokens,
         String previousTurn,
         List<PromptPart> prompt) {
     /** Assumed length of a prompt without parts, tokens. */
-    private static final int USUAL_PROMPT_TOKENS = 1000;
+    private static final int DEFAULT_PROMPT_TOKENS = 1000;
 
     private static final Pattern COMMA = Pattern.compile(",");
     /** A part with a token count of at most eight digits, which cannot overflow an int. */
@@ -40,7 +40,7 @@
      * Returns whether the request is a turn recorded by the store VMs: one that is stored, or that has a program's
      * budget.
      */
-    boolean turnOn(Route route) {
+    boolean isTurn(Route route) {
         return route.isStreaming() && (route.stateful() || (budget.isPresent() && !program.isEmpty()));
     }
 
@@ -54,23 +54,23 @@
      *
      * @return the parameters; empty if the request id is missing or a number is malformed
      */
-    static Optional<RequestFacts> read(HttpHeaders headers, HeaderNames dialect) {
-        String id = headers.get(dialect.requestId());
+    static Optional<RequestParameters> parse(HttpHeaders headers, HeaderNames headerNames) {
+        String id = headers.get(headerNames.requestId());
         if (id == null || id.isBlank()) {
             return Optional.empty();
         }
         try {
-            String deadline = headers.get(dialect.deadlineMillis());
-            String budget = headers.get(dialect.tokenBudget());
-            return Optional.of(new RequestFacts(
+            String deadline = headers.get(headerNames.deadlineMillis());
+            String budget = headers.get(headerNames.tokenBudget());
+            return Optional.of(new RequestParameters(
                     id,
                     deadline == null ? OptionalLong.empty() : OptionalLong.of(Long.parseLong(deadline.trim())),
-                    headers.get(dialect.program(), ""),
+                    headers.get(headerNames.program(), ""),
                     budget == null ? OptionalInt.empty() : OptionalInt.of(Integer.parseInt(budget.trim())),
-                    mostTokens(headers.get(dialect.tokenCount())),
-                    headers.get(dialect.previousTurn(), ""),
-                    prompt(headers, dialect)));
-        } catch (NumberFormatException fault) {
+                    parseMaxTokens(headers.get(headerNames.tokenCount())),
+                    headers.get(headerNames.previousTurn(), ""),
+                    parsePrompt(headers, headerNames)));
+        } catch (NumberFormatException e) {
             return Optional.empty();
         }
     }
@@ -79,24 +79,24 @@
      * Parses the prompt parts. They only affect placement, so a malformed header is treated as absent. Without parts,
      * the prompt of a turn counts as one part that the turns of its program share.
      */
-    private static List<PromptPart> prompt(HttpHeaders headers, HeaderNames dialect) {
-        String[] parts = COMMA.split(headers.get(dialect.promptParts(), ""), -1);
+    private static List<PromptPart> parsePrompt(HttpHeaders headers, HeaderNames headerNames) {
+        String[] parts = COMMA.split(headers.get(headerNames.promptParts(), ""), -1);
         if (Arrays.stream(parts).allMatch(PART.asMatchPredicate())) {
-            return Arrays.stream(parts).map(RequestFacts::part).toList();
+            return Arrays.stream(parts).map(RequestParameters::parsePart).toList();
         }
-        String program = headers.get(dialect.program(), "");
-        boolean turn = headers.contains(dialect.tokenBudget()) || headers.contains(dialect.tokenCount());
-        return turn && !program.isEmpty() ? List.of(new PromptPart(program, USUAL_PROMPT_TOKENS)) : List.of();
+        String program = headers.get(headerNames.program(), "");
+        boolean turn = headers.contains(headerNames.tokenBudget()) || headers.contains(headerNames.tokenCount());
+        return turn && !program.isEmpty() ? List.of(new PromptPart(program, DEFAULT_PROMPT_TOKENS)) : List.of();
     }
 
-    private static PromptPart part(String text) {
+    private static PromptPart parsePart(String text) {
         int colon = text.lastIndexOf(':');
         return new PromptPart(
                 text.substring(0, colon).trim(),
                 Integer.parseInt(text.substring(colon + 1).trim()));
     }
 
-    private static int mostTokens(String counts) {
+    private static int parseMaxTokens(String counts) {
         if (counts == null) {
             return 0;
         }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestStage.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestStage.java
@@ -3,15 +3,15 @@
 /** States of a {@link RelayedRequest}. */
 enum RequestStage {
     /** Waiting for the first manifest of the node. */
-    STARTING,
+    AWAITING_MANIFEST,
     /** Being matched to a route and checked against its team's quota. */
-    MATCHED,
+    MATCHING,
     /** A turn that is being begun at the store VMs: its tokens are reserved and its history is read. */
     BEGINNING,
     /** Queued for a runner. */
-    WAITING,
+    QUEUED,
     /** Assigned to a runner. */
-    OFFERED,
+    ASSIGNED,
     /** The response is complete and the turn is being committed. */
     COMMITTING,
     /** The final response was sent, or the caller has disconnected. */
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TeamClaim.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestTeam.java
@@ -11,19 +11,19 @@
 import org.parsleydrift.registry.Team;
 
 /** The team of a request and the charge against its quota. Requests without a team are not limited. */
-final class TeamClaim {
+final class RequestTeam {
     private final Registry registry;
-    private final QuotaTracker allotments;
+    private final QuotaTracker quotas;
     private final CallerRequest request;
-    private final HeaderNames dialect;
+    private final HeaderNames headerNames;
     private final Optional<Team> team;
     private final String owner;
-    private Optional<QuotaCharge> place = Optional.empty();
+    private Optional<QuotaCharge> charge = Optional.empty();
 
-    TeamClaim(Relay relay, CallerRequest request, Optional<Team> team, String owner) {
+    RequestTeam(Relay relay, CallerRequest request, Optional<Team> team, String owner) {
         this.registry = relay.registry();
-        this.allotments = relay.allotments();
-        this.dialect = relay.dialect();
+        this.quotas = relay.quotas();
+        this.headerNames = relay.headerNames();
         this.request = request;
         this.team = team;
         this.owner = owner;
@@ -44,43 +44,43 @@
     }
 
     /** Returns whether no team of the manifest in force owns the key of the request any more. */
-    boolean takenAway() {
+    boolean isKeyRevoked() {
         return team.isPresent()
                 && registry.manifest()
-                        .filter(each ->
-                                RequestMatch.holder(each, request, dialect).isEmpty())
+                        .filter(each -> RequestMatch.findTeam(each, request, headerNames)
+                                .isEmpty())
                         .isPresent();
     }
 
     /** Returns the retry delay if the team's quota is exhausted, else empty. Does not charge the quota. */
-    Optional<Duration> full() {
-        return team.filter(allotments::isExhausted).map(allotments::retryAfter);
+    Optional<Duration> quotaRetryDelay() {
+        return team.filter(quotas::isExhausted).map(quotas::retryAfter);
     }
 
     /**
      * Charges the request to the team's quota. To be called once per request.
      *
-     * @param underWay whether the request's program has already used runner time
-     * @param ofProgram whether the request belongs to a program, which needs further requests
+     * @param inProgress whether the request's program has already used runner time
+     * @param inProgram whether the request belongs to a program, which needs further requests
      */
-    QuotaDecision ask(boolean underWay, boolean ofProgram) {
+    QuotaDecision acquireQuota(boolean inProgress, boolean inProgram) {
         if (team.isEmpty()) {
             return QuotaDecision.UNLIMITED;
         }
-        QuotaDecision ruling = allotments.acquire(team.get(), underWay, ofProgram);
-        if (ruling instanceof QuotaDecision.Allowed allowed) {
-            place = allowed.charge();
+        QuotaDecision decision = quotas.acquire(team.get(), inProgress, inProgram);
+        if (decision instanceof QuotaDecision.Allowed allowed) {
+            charge = allowed.charge();
         }
-        return ruling;
+        return decision;
     }
 
     /** Charges the quota again for a retry; the first attempt may have run as well. */
-    void again() {
-        place.ifPresent(QuotaCharge::chargeAgain);
+    void chargeQuotaAgain() {
+        charge.ifPresent(QuotaCharge::chargeAgain);
     }
 
     /** Reverts the latest charge of a request that no runner has started since or will start. */
-    void giveBack() {
-        place.ifPresent(QuotaCharge::refund);
+    void refundQuota() {
+        charge.ifPresent(QuotaCharge::refund);
     }
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnection.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnection.java
@@ -31,44 +31,44 @@
 final class RunnerConnection extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = System.getLogger(RunnerConnection.class.getName());
 
-    private final HeaderNames dialect;
+    private final HeaderNames headerNames;
     private final RuntimeClock clock;
-    private final IdleConnections pool;
-    private final String runnerLife;
+    private final ConnectionPool pool;
+    private final String incarnation;
     private Channel channel;
     private ChannelFuture written;
     private RunnerRequest request;
-    private RunnerAnswer answer;
+    private RunnerResponseListener listener;
     private boolean skipping;
     private boolean headSeen;
     private boolean reusable = true;
     private boolean keepAlive;
     private boolean resetSeen;
-    private int served;
+    private int responsesReceived;
     private long idleSinceNanos;
     private Optional<Duration> idleLimit = Optional.empty();
 
-    RunnerConnection(IdleConnections pool, String runnerLife, HeaderNames dialect, RuntimeClock clock) {
+    RunnerConnection(ConnectionPool pool, String incarnation, HeaderNames headerNames, RuntimeClock clock) {
         this.pool = pool;
-        this.runnerLife = runnerLife;
-        this.dialect = dialect;
+        this.incarnation = incarnation;
+        this.headerNames = headerNames;
         this.clock = clock;
     }
 
-    String runnerLife() {
-        return runnerLife;
+    String incarnation() {
+        return incarnation;
     }
 
     Optional<Duration> idleLimit() {
         return idleLimit;
     }
 
-    Duration idleFor() {
+    Duration idleTime() {
         return Duration.ofNanos(clock.nanos() - idleSinceNanos);
     }
 
-    boolean open() {
-        return channel != null && channel.isActive() && reusable && answer == null;
+    boolean isAvailable() {
+        return channel != null && channel.isActive() && reusable && listener == null;
     }
 
     void close() {
@@ -79,9 +79,9 @@
     }
 
     /** Sends a request; from this call on the runner may have started it. */
-    void send(RunnerRequest next, RunnerAnswer receiver) {
+    void send(RunnerRequest next, RunnerResponseListener receiver) {
         request = next;
-        answer = receiver;
+        listener = receiver;
         skipping = false;
         headSeen = false;
         var message = new DefaultFullHttpRequest(
@@ -96,7 +96,7 @@
 
     /** Abandons the request and closes the connection, on which the runner cancels the request. */
     void cancel() {
-        answer = null;
+        listener = null;
         close();
     }
 
@@ -107,7 +107,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        pool.closed(this);
+        pool.remove(this);
         fail(resetSeen ? "connection reset" : "connection closed");
     }
 
@@ -122,15 +122,15 @@
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         try {
-            take((HttpObject) message);
+            processPart((HttpObject) message);
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void take(HttpObject part) {
-        if (answer == null) {
-            unasked();
+    private void processPart(HttpObject part) {
+        if (listener == null) {
+            closeUnsolicited();
             return;
         }
         if (part.decoderResult().isFailure()) {
@@ -140,16 +140,16 @@
             return;
         }
         if (part instanceof HttpResponse response) {
-            takeHead(response);
+            processHead(response);
         }
-        if (part instanceof HttpContent content && answer != null) {
-            takeContent(content);
+        if (part instanceof HttpContent content && listener != null) {
+            processContent(content);
         }
     }
 
-    private void takeHead(HttpResponse response) {
+    private void processHead(HttpResponse response) {
         int status = response.status().code();
-        skipping = status < 200 || !ours(response.headers());
+        skipping = status < 200 || !matchesRequest(response.headers());
         if (skipping) {
             if (status >= 200) {
                 reusable = false;
@@ -157,14 +157,14 @@
                         Logger.Level.INFO,
                         () -> LogLine.of("answer_of_other_request_skipped")
                                 .with("request", request.id())
-                                .with("answer_for", response.headers().get(dialect.requestId()))
-                                .with("runner", runnerLife)
+                                .with("answer_for", response.headers().get(headerNames.requestId()))
+                                .with("runner", incarnation)
                                 .with("status", status)
                                 .toString());
             }
             return;
         }
-        if (status < 300 && !proven(response.headers())) {
+        if (status < 300 && !isAuthenticated(response.headers())) {
             reusable = false;
             fail("success response without request id or stamp");
             close();
@@ -173,27 +173,27 @@
         headSeen = true;
         keepAlive = HttpUtil.isKeepAlive(response)
                 && (HttpUtil.isContentLengthSet(response) || HttpUtil.isTransferEncodingChunked(response));
-        idleLimit = KeepAliveHeader.seconds(response.headers().get("Keep-Alive"));
-        answer.head(status, response.headers());
+        idleLimit = KeepAliveHeader.timeout(response.headers().get("Keep-Alive"));
+        listener.onHead(status, response.headers());
     }
 
     /**
      * Returns whether a response belongs to the current request; without an id, only the first one on a connection can.
      */
-    private boolean ours(HttpHeaders headers) {
-        String id = headers.get(dialect.requestId());
-        return id == null ? served == 0 && reusable : id.equals(request.id());
+    private boolean matchesRequest(HttpHeaders headers) {
+        String id = headers.get(headerNames.requestId());
+        return id == null ? responsesReceived == 0 && reusable : id.equals(request.id());
     }
 
     /**
      * Returns whether a response carries the request id and the stamp of the runner. A corrupted head may still parse
      * as a success; it is treated as a failed response, which an idempotent request can retry.
      */
-    private boolean proven(HttpHeaders headers) {
-        return headers.contains(dialect.requestId()) && headers.contains(dialect.stamp());
+    private boolean isAuthenticated(HttpHeaders headers) {
+        return headers.contains(headerNames.requestId()) && headers.contains(headerNames.stamp());
     }
 
-    private void takeContent(HttpContent content) {
+    private void processContent(HttpContent content) {
         boolean last = content instanceof LastHttpContent;
         if (skipping) {
             return;
@@ -202,48 +202,48 @@
         if (bytes.isReadable()) {
             byte[] copy = new byte[bytes.readableBytes()];
             bytes.readBytes(copy);
-            answer.part(copy);
+            listener.onPart(copy);
         }
-        if (last && answer != null && headSeen) {
+        if (last && listener != null && headSeen) {
             finish();
         }
     }
 
     private void finish() {
-        RunnerAnswer receiver = answer;
+        RunnerResponseListener receiver = listener;
         if (resetSeen) {
             fail("reset before the end");
             return;
         }
-        answer = null;
-        served++;
+        listener = null;
+        responsesReceived++;
         idleSinceNanos = clock.nanos();
         // If the runner responds before the body is fully sent, the rest of the body would be parsed as the next
         // request.
         boolean allWritten = written != null && written.isSuccess();
         if (reusable && keepAlive && allWritten) {
-            pool.idle(this);
+            pool.release(this);
         } else {
             close();
         }
-        receiver.end();
+        receiver.onEnd();
     }
 
-    private void unasked() {
+    private void closeUnsolicited() {
         LOG.log(
                 Logger.Level.INFO,
                 () -> LogLine.of("unasked_answer")
-                        .with("runner", runnerLife)
-                        .with("served", served)
+                        .with("runner", incarnation)
+                        .with("served", responsesReceived)
                         .toString());
         close();
     }
 
     private void fail(String reason) {
-        RunnerAnswer receiver = answer;
-        answer = null;
+        RunnerResponseListener receiver = listener;
+        listener = null;
         if (receiver != null) {
-            receiver.broken(true, reason);
+            receiver.onFailure(true, reason);
         }
     }
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnections.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnectionPool.java
@@ -21,26 +21,26 @@
 import org.parsleydrift.wire.NetworkThreads;
 
 /** Connection pool, keyed by the id of the runner's incarnation. Not thread-safe; confined to one event loop. */
-final class RunnerConnections implements IdleConnections {
+final class RunnerConnectionPool implements ConnectionPool {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(400);
     /** Maximum idle time of a pooled connection; runners accept few connections. */
-    private static final Duration KEPT = Duration.ofSeconds(2);
+    private static final Duration MAX_IDLE_TIME = Duration.ofSeconds(2);
     /** Margin below the idle timeout that the runner announces, against sending on a connection that it is closing. */
     private static final Duration CLOSE_MARGIN = Duration.ofMillis(600);
     /** Maximum idle time if the runner announces no timeout. */
-    private static final Duration UNSTATED = Duration.ofMillis(300);
+    private static final Duration DEFAULT_IDLE_TIME = Duration.ofMillis(300);
 
-    private static final Duration SWEEP = Duration.ofMillis(250);
+    private static final Duration SWEEP_INTERVAL = Duration.ofMillis(250);
 
     private final Bootstrap bootstrap;
-    private final HeaderNames dialect;
+    private final HeaderNames headerNames;
     private final EventLoop loop;
     private final Map<String, Deque<RunnerConnection>> idle = new HashMap<>();
     private boolean sweeping;
 
-    RunnerConnections(NetworkThreads threads, EventLoop loop, HeaderNames dialect) {
+    RunnerConnectionPool(NetworkThreads threads, EventLoop loop, HeaderNames headerNames) {
         this.loop = loop;
-        this.dialect = dialect;
+        this.headerNames = headerNames;
         this.bootstrap = threads.connector(CONNECT_TIMEOUT);
     }
 
@@ -48,35 +48,36 @@
      * Returns a pooled or new connection; the future fails with {@link StepException} if the runner cannot be reached.
      */
     CompletableFuture<RunnerConnection> acquire(Runner runner) {
-        RunnerConnection kept = takeIdle(runner.incarnation());
-        return kept != null ? CompletableFuture.completedFuture(kept) : connect(runner);
+        RunnerConnection pooled = pollIdle(runner.incarnation());
+        return pooled != null ? CompletableFuture.completedFuture(pooled) : connect(runner);
     }
 
     @Override
-    public void idle(RunnerConnection connection) {
+    public void release(RunnerConnection connection) {
         if (!sweeping) {
             sweeping = true;
-            loop.schedule(SWEEP, this::sweep);
+            loop.schedule(SWEEP_INTERVAL, this::sweep);
         }
-        idle.computeIfAbsent(connection.runnerLife(), any -> new ArrayDeque<>()).addLast(connection);
+        idle.computeIfAbsent(connection.incarnation(), any -> new ArrayDeque<>())
+                .addLast(connection);
     }
 
     @Override
-    public void closed(RunnerConnection connection) {
-        Deque<RunnerConnection> kept = idle.get(connection.runnerLife());
-        if (kept != null) {
-            kept.remove(connection);
-            if (kept.isEmpty()) {
-                idle.remove(connection.runnerLife());
+    public void remove(RunnerConnection connection) {
+        Deque<RunnerConnection> pooled = idle.get(connection.incarnation());
+        if (pooled != null) {
+            pooled.remove(connection);
+            if (pooled.isEmpty()) {
+                idle.remove(connection.incarnation());
             }
         }
     }
 
-    private RunnerConnection takeIdle(String life) {
-        Deque<RunnerConnection> kept = idle.get(life);
-        while (kept != null && !kept.isEmpty()) {
-            RunnerConnection newest = kept.pollLast();
-            if (newest.open() && fresh(newest)) {
+    private RunnerConnection pollIdle(String incarnation) {
+        Deque<RunnerConnection> pooled = idle.get(incarnation);
+        while (pooled != null && !pooled.isEmpty()) {
+            RunnerConnection newest = pooled.pollLast();
+            if (newest.isAvailable() && isFresh(newest)) {
                 return newest;
             }
             newest.close();
@@ -84,16 +85,16 @@
         return null;
     }
 
-    private static boolean fresh(RunnerConnection connection) {
+    private static boolean isFresh(RunnerConnection connection) {
         Duration limit =
-                connection.idleLimit().map(each -> each.minus(CLOSE_MARGIN)).orElse(UNSTATED);
-        Duration least = limit.compareTo(KEPT) < 0 ? limit : KEPT;
-        return connection.idleFor().compareTo(least) < 0;
+                connection.idleLimit().map(each -> each.minus(CLOSE_MARGIN)).orElse(DEFAULT_IDLE_TIME);
+        Duration maxIdle = limit.compareTo(MAX_IDLE_TIME) < 0 ? limit : MAX_IDLE_TIME;
+        return connection.idleTime().compareTo(maxIdle) < 0;
     }
 
     private CompletableFuture<RunnerConnection> connect(Runner runner) {
         CompletableFuture<RunnerConnection> connected = new CompletableFuture<>();
-        RunnerConnection connection = new RunnerConnection(this, runner.incarnation(), dialect, loop.clock());
+        RunnerConnection connection = new RunnerConnection(this, runner.incarnation(), headerNames, loop.clock());
         int colon = runner.address().lastIndexOf(':');
         var address = new InetSocketAddress(
                 runner.address().substring(0, colon),
@@ -127,11 +128,11 @@
     private void sweep() {
         List.copyOf(idle.values()).stream()
                 .flatMap(each -> List.copyOf(each).stream())
-                .filter(each -> !fresh(each))
+                .filter(each -> !isFresh(each))
                 .forEach(RunnerConnection::close);
         sweeping = !idle.isEmpty();
         if (sweeping) {
-            loop.schedule(SWEEP, this::sweep);
+            loop.schedule(SWEEP_INTERVAL, this::sweep);
         }
     }
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerExchange.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerExchange.java
@@ -5,33 +5,33 @@
 import org.parsleydrift.registry.Runner;
 
 /** One attempt to run a request at one runner, from acquiring a connection to the end of the response. */
-final class RunnerExchange implements RunnerAnswer {
+final class RunnerExchange implements RunnerResponseListener {
     private static final int MISDIRECTED = 421;
 
     private final RelayedRequest request;
     private final Relay relay;
     private final Runner runner;
     private final boolean streaming;
-    private final ByteArrayOutputStream held = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream buffered = new ByteArrayOutputStream();
     private final EventStreamReader events;
     private RunnerConnection connection;
     private HttpHeaders headers;
     private int status;
     private boolean streamBegun;
-    private boolean over;
+    private boolean ended;
 
-    RunnerExchange(RelayedRequest request, Relay relay, Runner runner, boolean streaming, boolean keepsData) {
+    RunnerExchange(RelayedRequest request, Relay relay, Runner runner, boolean streaming, boolean collectData) {
         this.request = request;
         this.relay = relay;
         this.runner = runner;
         this.streaming = streaming;
-        this.events = new EventStreamReader(keepsData);
+        this.events = new EventStreamReader(collectData);
     }
 
     void start() {
         relay.connections()
                 .acquire(runner)
-                .whenComplete((acquired, failure) -> relay.loop().execute(() -> connected(acquired, failure)));
+                .whenComplete((acquired, failure) -> relay.loop().execute(() -> handleConnected(acquired, failure)));
     }
 
     /** Cancels the attempt; closing the connection makes the runner cancel the request. */
@@ -39,39 +39,39 @@
         if (connection != null) {
             connection.cancel();
         }
-        release();
+        releaseSlot();
     }
 
-    String runnerLife() {
+    String incarnation() {
         return runner.incarnation();
     }
 
     /** Returns the number of complete events forwarded to the caller. */
-    int eventsPassedOn() {
-        return streamBegun ? events.events() : 0;
+    int forwardedEvents() {
+        return streamBegun ? events.eventCount() : 0;
     }
 
     boolean streamBegun() {
         return streamBegun;
     }
 
-    private void connected(RunnerConnection acquired, Throwable failure) {
-        if (over) {
+    private void handleConnected(RunnerConnection acquired, Throwable failure) {
+        if (ended) {
             if (acquired != null) {
-                relay.connections().idle(acquired);
+                relay.connections().release(acquired);
             }
             return;
         }
         if (failure != null) {
-            relay.dispatcher().health(runner.incarnation()).recordConnectFailure(now());
-            release();
-            request.notRun(runner, "connection to runner failed");
+            relay.dispatcher().health(runner.incarnation()).recordConnectFailure(nowNanos());
+            releaseSlot();
+            request.handleNotRun(runner, "connection to runner failed");
             return;
         }
         if (!relay.registry().isUsable(runner)) {
-            relay.connections().idle(acquired);
-            release();
-            request.notRun(runner, "runner no longer accepts requests");
+            relay.connections().release(acquired);
+            releaseSlot();
+            request.handleNotRun(runner, "runner no longer accepts requests");
             return;
         }
         connection = acquired;
@@ -79,97 +79,97 @@
     }
 
     @Override
-    public void head(int newStatus, HttpHeaders newHeaders) {
+    public void onHead(int newStatus, HttpHeaders newHeaders) {
         status = newStatus;
         headers = newHeaders;
         if (streaming && status == 200) {
             streamBegun = true;
-            request.caller().beginStream(status, ForwardedHeaders.toCaller(headers));
+            request.callerResponse().beginStream(status, ForwardedHeaders.toCaller(headers));
         }
     }
 
     @Override
-    public void part(byte[] bytes) {
-        if (over) {
+    public void onPart(byte[] bytes) {
+        if (ended) {
             return;
         }
         if (!streamBegun) {
-            held.writeBytes(bytes);
-            if (held.size() > RelayLimits.MOST_HELD_BYTES) {
+            buffered.writeBytes(bytes);
+            if (buffered.size() > RelayLimits.MAX_BUFFERED_BYTES) {
                 connection.cancel();
-                broken(true, "response larger than " + RelayLimits.MOST_HELD_BYTES + " bytes");
+                onFailure(true, "response larger than " + RelayLimits.MAX_BUFFERED_BYTES + " bytes");
             }
             return;
         }
-        byte[] whole = events.take(bytes);
-        if (events.outOfOrder()) {
+        byte[] complete = events.parse(bytes);
+        if (events.isOutOfOrder()) {
             connection.cancel();
-            broken(true, "event ids out of order");
-        } else if (whole.length > 0) {
-            request.caller().events(whole);
+            onFailure(true, "event ids out of order");
+        } else if (complete.length > 0) {
+            request.callerResponse().sendEvents(complete);
         }
     }
 
     @Override
-    public void end() {
-        if (over) {
+    public void onEnd() {
+        if (ended) {
             return;
         }
-        over = true;
+        ended = true;
         deliver();
-        relay.dispatcher().finished(runner.incarnation());
+        relay.dispatcher().releaseSlot(runner.incarnation());
     }
 
     @Override
-    public void broken(boolean mayHaveRun, String reason) {
-        if (over) {
+    public void onFailure(boolean mayHaveRun, String reason) {
+        if (ended) {
             return;
         }
-        over = true;
-        relay.dispatcher().health(runner.incarnation()).recordBrokenResponse(now());
+        ended = true;
+        relay.dispatcher().health(runner.incarnation()).recordBrokenResponse(nowNanos());
         if (streamBegun) {
-            request.streamBroken(reason);
+            request.abortStream(reason);
         } else if (mayHaveRun) {
-            request.unknown(runner, reason);
+            request.handleUnknown(runner, reason);
         } else {
-            request.notRun(runner, reason);
+            request.handleNotRun(runner, reason);
         }
-        relay.dispatcher().finished(runner.incarnation());
+        relay.dispatcher().releaseSlot(runner.incarnation());
     }
 
-    private void release() {
-        if (!over) {
-            over = true;
-            relay.dispatcher().finished(runner.incarnation());
+    private void releaseSlot() {
+        if (!ended) {
+            ended = true;
+            relay.dispatcher().releaseSlot(runner.incarnation());
         }
     }
 
     private void deliver() {
-        boolean notExecuted = headers.contains(relay.dialect().notExecuted()) || status == MISDIRECTED;
+        boolean notExecuted = headers.contains(relay.headerNames().notExecuted()) || status == MISDIRECTED;
         if (notExecuted) {
-            request.notRun(runner, "runner reported not executed, status " + status);
+            request.handleNotRun(runner, "runner reported not executed, status " + status);
             return;
         }
         relay.dispatcher().health(runner.incarnation()).recordSuccess();
         if (streamBegun) {
-            if (events.sound()) {
-                request.streamEnded(runner, events);
+            if (events.isWellFormed()) {
+                request.commitStream(runner, events);
             } else {
-                request.streamBroken("runner stopped within an event");
+                request.abortStream("runner stopped within an event");
             }
-        } else if (promisesNotRun()) {
+        } else if (impliesNotRun()) {
             // Callers take these statuses as "not run", which the runner has not confirmed.
-            request.unknown(runner, "runner did not confirm that the request was not executed, status " + status);
+            request.handleUnknown(runner, "runner did not confirm that the request was not executed, status " + status);
         } else {
-            request.answered(runner, status, headers, held.toByteArray());
+            request.completeResponse(runner, status, headers, buffered.toByteArray());
         }
     }
 
-    private boolean promisesNotRun() {
+    private boolean impliesNotRun() {
         return status == 503 || status == 429 || status == 408;
     }
 
-    private long now() {
+    private long nowNanos() {
         return relay.loop().clock().nanos();
     }
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerRequest.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerRequest.java
@@ -13,28 +13,28 @@
  * @param target path and query
  * @param headers headers to send
  * @param body the body; empty if there is none
- * @param repeatable whether the request may be retried after an unknown outcome
+ * @param retriable whether the request may be retried after an unknown outcome
  */
-record RunnerRequest(String id, String method, String target, HttpHeaders headers, byte[] body, boolean repeatable) {
+record RunnerRequest(String id, String method, String target, HttpHeaders headers, byte[] body, boolean retriable) {
     /** Builds the request to a runner from that of the caller, replacing the headers that only the system sets. */
     static RunnerRequest of(
             CallerRequest request,
-            RequestFacts facts,
+            RequestParameters parameters,
             Optional<Team> team,
-            HeaderNames dialect,
+            HeaderNames headerNames,
             Runner runner,
-            long leftMillis,
+            long remainingMillis,
             byte[] body,
-            boolean repeatable) {
-        HttpHeaders headers = ForwardedHeaders.toRunner(request.headers(), dialect);
-        headers.set(dialect.requestId(), facts.id());
-        headers.set(dialect.deadlineMillis(), leftMillis);
-        headers.set(dialect.expectInstance(), runner.id());
-        team.ifPresent(each -> headers.set(dialect.team(), each.name()));
+            boolean retriable) {
+        HttpHeaders headers = ForwardedHeaders.toRunner(request.headers(), headerNames);
+        headers.set(headerNames.requestId(), parameters.id());
+        headers.set(headerNames.deadlineMillis(), remainingMillis);
+        headers.set(headerNames.expectInstance(), runner.id());
+        team.ifPresent(each -> headers.set(headerNames.team(), each.name()));
         headers.set("Host", request.host());
         if (body.length > 0 || !"GET".equals(request.method())) {
             headers.setInt("Content-Length", body.length);
         }
-        return new RunnerRequest(facts.id(), request.method(), request.target(), headers, body, repeatable);
+        return new RunnerRequest(parameters.id(), request.method(), request.target(), headers, body, retriable);
     }
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TurnRecord.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TurnRecord.java
@@ -19,7 +19,7 @@
     private static final Logger LOG = System.getLogger(TurnRecord.class.getName());
 
     private final Relay relay;
-    private final RequestFacts facts;
+    private final RequestParameters parameters;
     private final Route route;
     private final String owner;
     private boolean reserved;
@@ -27,40 +27,41 @@
     /**
      * Creates a record whose turn and program ids are prefixed with the owner, as other owners may use the same ids.
      */
-    TurnRecord(Relay relay, RequestFacts facts, Route route, String owner) {
+    TurnRecord(Relay relay, RequestParameters parameters, Route route, String owner) {
         this.relay = relay;
-        this.facts = facts;
+        this.parameters = parameters;
         this.route = route;
         this.owner = owner;
     }
 
     private String program() {
-        return facts.program().isEmpty() ? "" : owner + facts.program();
+        return parameters.program().isEmpty() ? "" : owner + parameters.program();
     }
 
     private String previousTurn() {
-        return facts.previousTurn().isEmpty() ? "" : owner + facts.previousTurn();
+        return parameters.previousTurn().isEmpty() ? "" : owner + parameters.previousTurn();
     }
 
     /** Reserves tokens and reads the conversation history. The future completes on the relay's loop and never fails. */
-    CompletableFuture<BeginResult> begin(Duration patience) {
-        OptionalInt budget = facts.program().isEmpty() ? OptionalInt.empty() : facts.budget();
+    CompletableFuture<BeginResult> begin(Duration timeout) {
+        OptionalInt budget = parameters.program().isEmpty() ? OptionalInt.empty() : parameters.budget();
         String previous = route.stateful() ? previousTurn() : "";
         BeginRequest begin = new BeginRequest(
-                program(), facts.id(), budget, facts.mostTokens(), previous, route.retention(), patience);
+                program(), parameters.id(), budget, parameters.maxTokens(), previous, route.retention(), timeout);
         return relay.conversations()
                 .begin(begin)
                 .thenApplyAsync(
                         result -> {
                             reserved = result instanceof BeginResult.Granted && budget.isPresent();
-                            logDenied(result);
+                            logDenial(result);
                             return result;
                         },
                         relay.loop());
     }
 
-    private void logDenied(BeginResult result) {
-        LogLine line = LogLine.of("turn_denied").with("request", facts.id()).with("program", facts.program());
+    private void logDenial(BeginResult result) {
+        LogLine line =
+                LogLine.of("turn_denied").with("request", parameters.id()).with("program", parameters.program());
         switch (result) {
             case BeginResult.BudgetSpent spent ->
                 LOG.log(
@@ -68,14 +69,14 @@
                         line.with("reason", "budget_spent")
                                 .with("counted", spent.countedTokens())
                                 .with("generated", spent.generatedTokens())
-                                .with("most", facts.mostTokens())
-                                .with("budget", facts.budget().orElse(0))
+                                .with("most", parameters.maxTokens())
+                                .with("budget", parameters.budget().orElse(0))
                                 .toString());
             case BeginResult.NoSuchTurn ignored ->
                 LOG.log(
                         Logger.Level.INFO,
                         line.with("reason", "no_such_turn")
-                                .with("previous", facts.previousTurn())
+                                .with("previous", parameters.previousTurn())
                                 .toString());
             case BeginResult.Granted ignored -> {}
             case BeginResult.Unavailable ignored -> {}
@@ -86,7 +87,7 @@
     void release() {
         if (reserved) {
             reserved = false;
-            relay.conversations().release(program(), facts.id(), route.retention());
+            relay.conversations().release(program(), parameters.id(), route.retention());
         }
     }
 
@@ -94,13 +95,13 @@
      * Settles the reservation of an aborted turn with the tokens of the forwarded events. An unsettled reservation
      * counts in full against the program's budget until it expires.
      */
-    void brokeOff(int events, String service) {
+    void settleAborted(int events, String service) {
         if (reserved) {
             reserved = false;
-            int tokens = tokensOf(events, service);
+            int tokens = countTokens(events, service);
             relay.conversations()
                     .writeInBackground(
-                            new Grant(program(), facts.id(), GrantState.SETTLED, tokens, ""), route.retention());
+                            new Grant(program(), parameters.id(), GrantState.SETTLED, tokens, ""), route.retention());
         }
     }
 
@@ -108,7 +109,7 @@
      * Returns the number of tokens in forwarded events. If the service is gone from the manifest, the tokens per event
      * are unknown; the maximum of the turn is assumed, so that the program cannot exceed its budget.
      */
-    private int tokensOf(int events, String service) {
+    private int countTokens(int events, String service) {
         if (events == 0) {
             return 0;
         }
@@ -116,18 +117,18 @@
                 .manifest()
                 .flatMap(each -> each.service(service))
                 .map(each -> events * each.tokensPerEvent())
-                .orElse(facts.mostTokens());
+                .orElse(parameters.maxTokens());
     }
 
     /** Commits a complete stream. The future fails if the turn must be stored and is not durable in time. */
-    CompletableFuture<Void> end(
-            String runner, String service, byte[] input, EventStreamReader events, long leftMillis) {
-        int tokens = tokensOf(events.events(), service);
+    CompletableFuture<Void> complete(
+            String runner, String service, byte[] input, EventStreamReader events, long remainingMillis) {
+        int tokens = countTokens(events.eventCount(), service);
         if (!route.stateful()) {
             return settle(runner, tokens);
         }
-        Duration patience = Duration.ofMillis(Math.min(leftMillis, RelayLimits.COMMIT_MOST.toMillis()));
-        return keep(runner, tokens, input, events.data(), patience);
+        Duration timeout = Duration.ofMillis(Math.min(remainingMillis, RelayLimits.MAX_COMMIT_TIME.toMillis()));
+        return store(runner, tokens, input, events.data(), timeout);
     }
 
     /** Settles the reservation. The future never fails; after a timeout the write continues in the background. */
@@ -135,31 +136,31 @@
         if (!reserved) {
             return CompletableFuture.completedFuture(null);
         }
-        Grant grant = settled(runner, tokens);
-        CompletableFuture<Void> waited = new CompletableFuture<>();
+        Grant grant = settledGrant(runner, tokens);
+        CompletableFuture<Void> completed = new CompletableFuture<>();
         relay.conversations()
-                .commit(Optional.of(grant), Optional.empty(), route.retention(), RelayLimits.SETTLE_WAIT)
+                .commit(Optional.of(grant), Optional.empty(), route.retention(), RelayLimits.MAX_SETTLE_TIME)
                 .whenComplete((done, failure) -> relay.loop().execute(() -> {
                     if (failure != null) {
                         relay.conversations().writeInBackground(grant, route.retention());
                     }
-                    waited.complete(null);
+                    completed.complete(null);
                 }));
-        return waited;
+        return completed;
     }
 
-    private CompletableFuture<Void> keep(String runner, int tokens, byte[] input, byte[] output, Duration patience) {
-        Optional<Grant> grant = reserved ? Optional.of(settled(runner, tokens)) : Optional.empty();
-        Turn turn = new Turn(owner + facts.id(), previousTurn(), input, output);
-        return relay.conversations().commit(grant, Optional.of(turn), route.retention(), patience);
+    private CompletableFuture<Void> store(String runner, int tokens, byte[] input, byte[] output, Duration timeout) {
+        Optional<Grant> grant = reserved ? Optional.of(settledGrant(runner, tokens)) : Optional.empty();
+        Turn turn = new Turn(owner + parameters.id(), previousTurn(), input, output);
+        return relay.conversations().commit(grant, Optional.of(turn), route.retention(), timeout);
     }
 
-    private Grant settled(String runner, int tokens) {
-        if (facts.prompt().isEmpty()) {
-            return new Grant(program(), facts.id(), GrantState.SETTLED, tokens, runner);
+    private Grant settledGrant(String runner, int tokens) {
+        if (parameters.prompt().isEmpty()) {
+            return new Grant(program(), parameters.id(), GrantState.SETTLED, tokens, runner);
         }
-        PromptPart line = facts.prompt().getLast();
-        int held = line.tokens() + tokens;
-        return new Grant(program(), facts.id(), GrantState.SETTLED, tokens, runner, line.id(), held);
+        PromptPart lastPart = parameters.prompt().getLast();
+        int cachedTokens = lastPart.tokens() + tokens;
+        return new Grant(program(), parameters.id(), GrantState.SETTLED, tokens, runner, lastPart.id(), cachedTokens);
     }
 }
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/CallerConnectionTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/CallerConnectionTest.java
@@ -20,7 +20,7 @@
 /** Framing of callers' requests and responses. */
 public class CallerConnectionTest {
     private final List<CallerRequest> requests = new ArrayList<>();
-    private final List<CallerAnswer> answers = new ArrayList<>();
+    private final List<CallerResponse> answers = new ArrayList<>();
     private int gone;
 
     private EmbeddedChannel connect() {
@@ -39,15 +39,15 @@
             }
 
             @Override
-            public boolean draining() {
+            public boolean isDraining() {
                 return false;
             }
 
             @Override
-            public void opened(CallerConnection connection) {}
+            public void connectionOpened(CallerConnection connection) {}
 
             @Override
-            public void closed(CallerConnection connection) {}
+            public void connectionClosed(CallerConnection connection) {}
         };
         return new EmbeddedChannel(
                 new StrictRequestDecoder(16384),
@@ -101,7 +101,8 @@
         send(channel, request + request);
         assertEquals(requests.size(), 1);
         assertEquals(new String(requests.getFirst().body(), UTF_8), "abc");
-        answers.getFirst().whole(200, DefaultHttpHeadersFactory.headersFactory().newHeaders(), new byte[] {'x'});
+        answers.getFirst()
+                .sendFull(200, DefaultHttpHeadersFactory.headersFactory().newHeaders(), new byte[] {'x'});
         assertTrue(sent(channel).endsWith("\r\n\r\nx"));
         assertEquals(requests.size(), 2);
         assertTrue(channel.isOpen());
@@ -123,7 +124,7 @@
         send(channel, "GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n");
         answers.getFirst()
                 .beginStream(200, DefaultHttpHeadersFactory.headersFactory().newHeaders());
-        answers.getFirst().events("id: 1\n\n".getBytes(UTF_8));
+        answers.getFirst().sendEvents("id: 1\n\n".getBytes(UTF_8));
         answers.getFirst().abort();
         assertFalse(sent(channel).contains("\r\n0\r\n\r\n"));
         assertFalse(channel.isOpen());
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/DispatcherTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/DispatcherTest.java
@@ -32,7 +32,7 @@
     private Dispatcher dispatcher;
     private long revision;
 
-    private final class Request implements Waiter {
+    private final class Request implements QueuedRequest {
         private final String name;
         private final int priority;
         private final boolean underWay;
@@ -59,17 +59,17 @@
         }
 
         @Override
-        public List<CachedPart> heard() {
+        public List<CachedPart> reportedParts() {
             return List.of();
         }
 
         @Override
-        public Set<String> avoided() {
+        public Set<String> excludedRunners() {
             return avoided;
         }
 
         @Override
-        public boolean anywhere() {
+        public boolean acceptsAnyRunner() {
             return false;
         }
 
@@ -79,12 +79,12 @@
         }
 
         @Override
-        public boolean underWay() {
+        public boolean isInProgress() {
             return underWay;
         }
 
         @Override
-        public void offered(Candidate chosen) {
+        public void assign(Candidate chosen) {
             runner = chosen.runner();
             placed.add(name);
         }
@@ -124,8 +124,8 @@
         dispatcher.submit(new Request("new", 1, false));
         dispatcher.submit(new Request("going", 1, true));
         assertEquals(placed, List.of("a", "b"));
-        dispatcher.finished("r1");
-        dispatcher.finished("r1");
+        dispatcher.releaseSlot("r1");
+        dispatcher.releaseSlot("r1");
         assertEquals(placed, List.of("a", "b", "going", "new-urgent"));
     }
 
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/EventStreamReaderTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/EventStreamReaderTest.java
@@ -9,18 +9,18 @@
 
 public class EventStreamReaderTest {
     private static String take(EventStreamReader reader, String text) {
-        return new String(reader.take(text.getBytes(UTF_8)), UTF_8);
+        return new String(reader.parse(text.getBytes(UTF_8)), UTF_8);
     }
 
     @Test
     public void passesOnWholeEventsOnly() {
         EventStreamReader reader = new EventStreamReader(true);
         assertEquals(take(reader, "id: 1\nda"), "");
-        assertFalse(reader.sound());
+        assertFalse(reader.isWellFormed());
         assertEquals(take(reader, "ta: one\n\nid: 2\n"), "id: 1\ndata: one\n\n");
         assertEquals(take(reader, "data: two\n\n"), "id: 2\ndata: two\n\n");
-        assertTrue(reader.sound());
-        assertEquals(reader.events(), 2);
+        assertTrue(reader.isWellFormed());
+        assertEquals(reader.eventCount(), 2);
         assertEquals(new String(reader.data(), UTF_8), "one\ntwo\n");
     }
 
@@ -30,7 +30,7 @@
         EventStreamReader reader = new EventStreamReader(false);
         assertEquals(take(reader, "id: 1\ndata: a\n\n"), "id: 1\ndata: a\n\n");
         assertEquals(take(reader, "id: 3\ndata: c\n\n"), "");
-        assertTrue(reader.outOfOrder());
+        assertTrue(reader.isOutOfOrder());
     }
 
     @Test
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/QueueWaitTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/QueueWaitTest.java
@@ -20,11 +20,11 @@
         seen.clear();
         ManualScheduler time = new ManualScheduler();
         QueueWait wait = new QueueWait(time.newLoop(), () -> seen.add("again"));
-        wait.begin(Duration.ofMillis(900), () -> seen.add("over"));
+        wait.start(Duration.ofMillis(900), () -> seen.add("over"));
         time.advance(Duration.ofMillis(700));
-        assertFalse(wait.nearlyOver());
+        assertFalse(wait.isNearTimeout());
         time.advance(Duration.ofMillis(50));
-        assertTrue(wait.nearlyOver());
+        assertTrue(wait.isNearTimeout());
         assertEquals(seen, List.of("again"));
         time.advance(Duration.ofMillis(200));
         assertEquals(seen, List.of("again", "over"));
@@ -35,12 +35,12 @@
         seen.clear();
         ManualScheduler time = new ManualScheduler();
         QueueWait wait = new QueueWait(time.newLoop(), () -> seen.add("again"));
-        wait.begin(Duration.ofMillis(900), () -> seen.add("over"));
+        wait.start(Duration.ofMillis(900), () -> seen.add("over"));
         time.advance(Duration.ofMillis(800));
-        wait.end();
+        wait.cancel();
         time.advance(Duration.ofSeconds(2));
         assertEquals(seen, List.of("again"));
-        wait.begin(Duration.ofMillis(100), () -> seen.add("over"));
-        assertFalse(wait.nearlyOver());
+        wait.start(Duration.ofMillis(100), () -> seen.add("over"));
+        assertFalse(wait.isNearTimeout());
     }
 }
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestFactsTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestFactsTest.java
@@ -21,7 +21,9 @@
         if (!budget.isEmpty()) {
             headers.set("Parsleydrift-Token-Budget", budget);
         }
-        return RequestFacts.read(headers, HeaderNames.defaults()).orElseThrow().prompt();
+        return RequestParameters.parse(headers, HeaderNames.defaults())
+                .orElseThrow()
+                .prompt();
     }
 
     @Test
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RunnerConnectionTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RunnerConnectionTest.java
@@ -26,24 +26,24 @@
     private RunnerConnection connection;
     private EmbeddedChannel channel;
 
-    private final RunnerAnswer answer = new RunnerAnswer() {
+    private final RunnerResponseListener answer = new RunnerResponseListener() {
         @Override
-        public void head(int status, HttpHeaders headers) {
+        public void onHead(int status, HttpHeaders headers) {
             events.add("head " + status);
         }
 
         @Override
-        public void part(byte[] bytes) {
+        public void onPart(byte[] bytes) {
             events.add("part " + new String(bytes, UTF_8));
         }
 
         @Override
-        public void end() {
+        public void onEnd() {
             events.add("end");
         }
 
         @Override
-        public void broken(boolean mayHaveRun, String reason) {
+        public void onFailure(boolean mayHaveRun, String reason) {
             events.add("broken " + mayHaveRun);
         }
     };
@@ -52,14 +52,14 @@
     public void connect() {
         kept.clear();
         events.clear();
-        IdleConnections pool = new IdleConnections() {
+        ConnectionPool pool = new ConnectionPool() {
             @Override
-            public void idle(RunnerConnection idle) {
+            public void release(RunnerConnection idle) {
                 kept.add(idle);
             }
 
             @Override
-            public void closed(RunnerConnection closed) {
+            public void remove(RunnerConnection closed) {
                 kept.remove(closed);
             }
         };
