--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/RetryBudgetTest.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/RetryBudgetTest.java
@@ -19,14 +19,14 @@
 
     /** At a failure rate of 4% all failed requests are retried. */
     @Test
-    public void fewLostAnswersAreAllMadeUpFor() {
+    public void isolatedFailuresAreAllRetried() {
         assertEquals(granted(1000, 25), 40);
     }
 
     /** Retries must not double the load of a service that fails as a whole. */
     @Test
-    public void aServiceThatFailsAsAWholeGetsATenthMoreAtMost() {
-        int seconds = granted(1000, 1);
-        assertTrue(seconds <= 1000 / 10 + 10, "second tries " + seconds);
+    public void retriesOfFailingServiceAreLimited() {
+        int retries = granted(1000, 1);
+        assertTrue(retries <= 1000 / 10 + 10, "second tries " + retries);
     }
 }
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/RunnerChoiceTest.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/RunnerChoiceTest.java
@@ -15,8 +15,8 @@
         return new Candidate(runner(id, SLOTS), load, suspended, id.startsWith("near"), 0);
     }
 
-    private static Candidate engine(String id, int load, int missing) {
-        return new Candidate(runner(id, 16), load, false, false, missing);
+    private static Candidate engine(String id, int load, int uncached) {
+        return new Candidate(runner(id, 16), load, false, false, uncached);
     }
 
     private static Runner runner(String id, int slots) {
@@ -27,44 +27,44 @@
         return choose(0, candidates);
     }
 
-    private static String choose(double usualMissing, Candidate... candidates) {
-        return choose(usualMissing, false, candidates);
+    private static String choose(double typicalUncached, Candidate... candidates) {
+        return choose(typicalUncached, false, candidates);
     }
 
-    private static String choose(double usualMissing, boolean anywhere, Candidate... candidates) {
-        return RunnerChoice.choose(List.of(candidates), usualMissing, anywhere, new Random(1))
+    private static String choose(double typicalUncached, boolean anyRunner, Candidate... candidates) {
+        return RunnerChoice.choose(List.of(candidates), typicalUncached, anyRunner, new Random(1))
                 .map(each -> each.runner().id())
                 .orElse("none");
     }
 
     @Test
-    public void theLeastLoadedIsTaken() {
+    public void leastLoadedRunnerIsChosen() {
         assertEquals(choose(candidate("a", 2, false), candidate("b", 1, false), candidate("c", 3, false)), "b");
     }
 
     /** A small difference in load must not outweigh a cached prompt. */
     @Test
-    public void atBusyEnginesALineStaysWhereItIsHeld() {
+    public void cachedPromptOutweighsSmallLoadDifference() {
         assertEquals(choose(700, engine("held", 14, 200), engine("other", 11, 2500)), "held");
         assertEquals(choose(700, engine("held", 17, 200), engine("other", 15, 2500)), "held");
     }
 
     /** Computing a prompt on an idle engine delays no other request. */
     @Test
-    public void anIdleEngineReadsAnewRatherThanJoiningAFullOne() {
+    public void idleEngineIsPreferredToBusyOneWithCachedPrompt() {
         assertEquals(choose(700, engine("held", 14, 200), engine("idle", 0, 2500)), "idle");
     }
 
     /** Waiting for the engine that has cached the prompt is cheaper than computing it on a nearly full one. */
     @Test
-    public void aLineWaitsForItsFullEngineWhileOthersAreNearlyFull() {
+    public void requestWaitsForFullEngineWithCachedPrompt() {
         assertEquals(choose(700, engine("held", 20, 200), engine("other", 15, 2500)), "none");
         assertEquals(choose(700, engine("held", 20, 200), engine("other", 3, 2500)), "other");
     }
 
     /** A request must not wait until its rejection for a stuck engine while others have free slots. */
     @Test
-    public void aFullEngineIsNotWaitedForWithoutEnd() {
+    public void anyFreeEngineIsChosenNearTimeout() {
         assertEquals(choose(700, true, engine("held", 20, 200), engine("other", 15, 2500)), "other");
         assertEquals(choose(700, true, engine("held", 20, 200), engine("other", 20, 2500)), "none");
     }
@@ -74,7 +74,7 @@
      * taken.
      */
     @Test
-    public void plainCallsStayInTheirZoneWhileItsRunnersHavePlaces() {
+    public void runnerInSameZoneIsPreferred() {
         assertEquals(choose(candidate("a", 1, false), candidate("near", 1, false), candidate("c", 1, false)), "near");
         assertEquals(choose(candidate("a", 0, false), candidate("near", 1, false)), "near");
         assertEquals(choose(candidate("a", 0, false), candidate("near", 2, false)), "a");
@@ -83,26 +83,26 @@
 
     /** Among engines of equal cost the one in the node's zone is chosen. */
     @Test
-    public void amongEqualEnginesTheNearOneGoesFirst() {
+    public void engineInSameZoneBreaksTies() {
         Candidate near = new Candidate(runner("near", 16), 3, false, true, 500);
         assertEquals(choose(700, engine("far", 3, 500), near), "near");
         assertEquals(choose(700, engine("far", 2, 500), near), "far");
     }
 
     @Test
-    public void fullRunnersGetNothing() {
+    public void fullRunnerIsNotChosen() {
         assertEquals(choose(candidate("a", 4, false)), "none");
     }
 
     /** A service whose runners are all suspended must still receive requests. */
     @Test
-    public void whenAllHaveFailedOneIsTried() {
+    public void suspendedRunnerIsChosenIfAllAreSuspended() {
         assertEquals(choose(candidate("a", 0, true), candidate("b", 3, false)), "b");
         assertEquals(choose(candidate("a", 0, true), candidate("b", 1, true)), "a");
     }
 
     @Test
-    public void aRunnerThatCannotBeReachedRestsLongerEachTime() {
+    public void suspensionGrowsWithEachFailure() {
         RunnerHealth health = new RunnerHealth();
         health.recordConnectFailure(0);
         assertTrue(health.isSuspended(100_000_000L));
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/BrokenTurnTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/AbortedTurnTest.java
@@ -49,8 +49,8 @@
 import org.testng.annotations.Test;
 
 /** Tokens that an aborted turn charges to its program's budget. */
-public class BrokenTurnTest {
-    private static final int PATIENCE_MILLIS = 20_000;
+public class AbortedTurnTest {
+    private static final int TIMEOUT_MILLIS = 20_000;
     private static final int TOKENS_PER_EVENT = 50;
     private static final String BUDGET =
             "Parsleydrift-Program: p\r\nParsleydrift-Token-Budget: 500\r\nParsleydrift-Tokens: 10,288\r\n";
@@ -74,7 +74,7 @@
         registry = new Registry(loop, new ObjectDecoder() {
             @Override
             public RoutingManifest decodeManifest(byte[] content) {
-                return BrokenTurnTest.manifest(content.length == 0);
+                return AbortedTurnTest.manifest(content.length == 0);
             }
 
             @Override
@@ -82,8 +82,8 @@
                 return runner.entry();
             }
         });
-        entry = new ReplicaCalls(loop, to(() -> store), "e", request -> new CompletableFuture<>());
-        store = new ReplicaCalls(loop, to(() -> entry), "s", this::answer);
+        entry = new ReplicaCalls(loop, senderTo(() -> store), "e", request -> new CompletableFuture<>());
+        store = new ReplicaCalls(loop, senderTo(() -> entry), "s", this::answer);
         ConversationClient client = new ConversationClient(loop, entry);
         client.adopt(new StoreSet(1, List.of(new StoreMember("s", "disk", "s")), List.of()));
         Relay relay = new Relay(
@@ -112,7 +112,7 @@
         threads.close();
     }
 
-    private FrameSender to(Supplier<ReplicaCalls> receiver) {
+    private FrameSender senderTo(Supplier<ReplicaCalls> receiver) {
         return new FrameSender() {
             @Override
             public void send(String address, byte[] frame) {
@@ -167,34 +167,34 @@
         });
     }
 
-    private Socket send(String id, String more) throws IOException {
+    private Socket send(String id, String headers) throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.port());
-        socket.setSoTimeout(PATIENCE_MILLIS);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         String text = "POST /turns/ HTTP/1.1\r\nHost: h\r\nParsleydrift-Request: " + id + "\r\nConnection: close\r\n"
-                + BUDGET + more + "Content-Length: 2\r\n\r\nhi";
+                + BUDGET + headers + "Content-Length: 2\r\n\r\nhi";
         socket.getOutputStream().write(text.getBytes(UTF_8));
         return socket;
     }
 
-    private int countedOf(String id) {
+    private int countedTokens(String id) {
         CompletableFuture<Integer> counted = new CompletableFuture<>();
         loop.execute(() -> counted.complete(grants.get(id).counted()));
         return counted.join();
     }
 
     private void awaitCounted(String id, int tokens) {
-        long end = loop.clock().nanos() + Duration.ofMillis(PATIENCE_MILLIS).toNanos();
-        while (countedOf(id) != tokens && loop.clock().nanos() - end < 0) {
+        long end = loop.clock().nanos() + Duration.ofMillis(TIMEOUT_MILLIS).toNanos();
+        while (countedTokens(id) != tokens && loop.clock().nanos() - end < 0) {
             Thread.onSpinWait();
         }
-        assertEquals(countedOf(id), tokens);
+        assertEquals(countedTokens(id), tokens);
     }
 
     /**
      * The reservation of a turn whose caller disconnects before the first event must not remain charged to the budget.
      */
     @Test
-    public void aTurnWhoseCallerLeftBeforeTheFirstEventCostsNothing() throws IOException {
+    public void turnWithoutForwardedEventsCostsNothing() throws IOException {
         serve(request -> ScriptedRunner.header(request, "Parsleydrift-Request").equals("q1")
                 ? ScriptedRunner.SILENCE
                 : STREAM.formatted("q2", 17, "id: 1\ndata: aa\n\n"));
@@ -202,7 +202,7 @@
         while (runner.requests.isEmpty()) {
             Thread.onSpinWait();
         }
-        assertEquals(countedOf("q1"), 288);
+        assertEquals(countedTokens("q1"), 288);
         first.close();
         awaitCounted("q1", 0);
         try (Socket second = send("q2", "")) {
@@ -213,11 +213,11 @@
 
     /** Only the events forwarded before a stream breaks are charged. */
     @Test
-    public void aTurnThatBreaksMidwayCostsWhatWasPassedOn() throws IOException {
+    public void brokenTurnCostsForwardedEvents() throws IOException {
         serve(request -> STREAM.formatted("q1", 100, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"));
         try (Socket socket = send("q1", "Parsleydrift-Deadline-Ms: 700\r\n")) {
-            awaitPassedOn(socket);
-            assertEquals(countedOf("q1"), 288);
+            awaitForwardedEvents(socket);
+            assertEquals(countedTokens("q1"), 288);
         }
         awaitCounted("q1", 2 * TOKENS_PER_EVENT);
     }
@@ -227,10 +227,10 @@
      * counts.
      */
     @Test
-    public void eventsOfUnknownSizeLeaveTheReservationAtItsMost() throws IOException {
+    public void eventsOfUnknownSizeCostFullReservation() throws IOException {
         serve(request -> STREAM.formatted("q1", 100, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"));
         try (Socket socket = send("q1", "Parsleydrift-Deadline-Ms: 700\r\n")) {
-            awaitPassedOn(socket);
+            awaitForwardedEvents(socket);
             loop.execute(
                     () -> registry.applyManifestChanges(List.of(new SharedObject("main", 2, false, new byte[] {1}))));
             socket.getInputStream().transferTo(OutputStream.nullOutputStream());
@@ -241,10 +241,10 @@
             String answer = new String(next.getInputStream().readAllBytes(), ISO_8859_1);
             assertTrue(answer.startsWith("HTTP/1.1 402 "), answer);
         }
-        assertEquals(countedOf("q1"), 288);
+        assertEquals(countedTokens("q1"), 288);
     }
 
-    private static void awaitPassedOn(Socket socket) throws IOException {
+    private static void awaitForwardedEvents(Socket socket) throws IOException {
         StringBuilder text = new StringBuilder();
         while (text.indexOf("data: b\n\n") < 0) {
             text.append((char) socket.getInputStream().read());
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/CallerConnectionTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/CallerConnectionTest.java
@@ -20,17 +20,17 @@
 /** Framing of callers' requests and responses. */
 public class CallerConnectionTest {
     private final List<CallerRequest> requests = new ArrayList<>();
-    private final List<CallerResponse> answers = new ArrayList<>();
-    private int gone;
+    private final List<CallerResponse> responses = new ArrayList<>();
+    private int disconnects;
 
     private EmbeddedChannel connect() {
         requests.clear();
-        answers.clear();
-        gone = 0;
+        responses.clear();
+        disconnects = 0;
         RequestHandler handler = (request, answer) -> {
             requests.add(request);
-            answers.add(answer);
-            return () -> gone++;
+            responses.add(answer);
+            return () -> disconnects++;
         };
         ConnectionOwner owner = new ConnectionOwner() {
             @Override
@@ -59,7 +59,7 @@
         channel.writeInbound(Unpooled.copiedBuffer(text, UTF_8));
     }
 
-    private static String sent(EmbeddedChannel channel) {
+    private static String readResponse(EmbeddedChannel channel) {
         channel.runPendingTasks();
         StringBuilder text = new StringBuilder();
         for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
@@ -89,44 +89,46 @@
     public void refusesAmbiguousFraming(String text) {
         EmbeddedChannel channel = connect();
         send(channel, text + "GET /smuggled/ HTTP/1.1\r\nHost: h\r\n\r\n");
-        assertTrue(sent(channel).startsWith("HTTP/1.1 400 "));
+        assertTrue(readResponse(channel).startsWith("HTTP/1.1 400 "));
         assertEquals(requests.size(), 0);
         assertFalse(channel.isOpen());
     }
 
     @Test
-    public void answersOneRequestAfterTheOther() {
+    public void processesPipelinedRequestsInOrder() {
         EmbeddedChannel channel = connect();
         String request = "POST /a/ HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
         send(channel, request + request);
         assertEquals(requests.size(), 1);
         assertEquals(new String(requests.getFirst().body(), UTF_8), "abc");
-        answers.getFirst()
+        responses
+                .getFirst()
                 .sendFull(200, DefaultHttpHeadersFactory.headersFactory().newHeaders(), new byte[] {'x'});
-        assertTrue(sent(channel).endsWith("\r\n\r\nx"));
+        assertTrue(readResponse(channel).endsWith("\r\n\r\nx"));
         assertEquals(requests.size(), 2);
         assertTrue(channel.isOpen());
     }
 
     /** The handler must learn that the caller has disconnected, so that it cancels the request. */
     @Test
-    public void tellsThatACallerHasLeft() {
+    public void reportsDisconnectOfCaller() {
         EmbeddedChannel channel = connect();
         send(channel, "GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n");
         channel.close();
-        assertEquals(gone, 1);
+        assertEquals(disconnects, 1);
     }
 
     /** An aborted response must not look complete. */
     @Test
-    public void anAbortedStreamHasNoEnd() {
+    public void abortedStreamHasNoTerminatingChunk() {
         EmbeddedChannel channel = connect();
         send(channel, "GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n");
-        answers.getFirst()
+        responses
+                .getFirst()
                 .beginStream(200, DefaultHttpHeadersFactory.headersFactory().newHeaders());
-        answers.getFirst().sendEvents("id: 1\n\n".getBytes(UTF_8));
-        answers.getFirst().abort();
-        assertFalse(sent(channel).contains("\r\n0\r\n\r\n"));
+        responses.getFirst().sendEvents("id: 1\n\n".getBytes(UTF_8));
+        responses.getFirst().abort();
+        assertFalse(readResponse(channel).contains("\r\n0\r\n\r\n"));
         assertFalse(channel.isOpen());
     }
 }
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/DispatcherTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/DispatcherTest.java
@@ -27,7 +27,7 @@
 public class DispatcherTest {
     private static final int SLOTS = 2;
 
-    private final List<String> placed = new ArrayList<>();
+    private final List<String> assigned = new ArrayList<>();
     private Registry registry;
     private Dispatcher dispatcher;
     private long revision;
@@ -35,14 +35,14 @@
     private final class Request implements QueuedRequest {
         private final String name;
         private final int priority;
-        private final boolean underWay;
-        private final Set<String> avoided = new HashSet<>();
+        private final boolean inProgress;
+        private final Set<String> excludedRunners = new HashSet<>();
         private Runner runner;
 
-        private Request(String name, int priority, boolean underWay) {
+        private Request(String name, int priority, boolean inProgress) {
             this.name = name;
             this.priority = priority;
-            this.underWay = underWay;
+            this.inProgress = inProgress;
         }
 
         @Override
@@ -65,7 +65,7 @@
 
         @Override
         public Set<String> excludedRunners() {
-            return avoided;
+            return excludedRunners;
         }
 
         @Override
@@ -80,19 +80,19 @@
 
         @Override
         public boolean isInProgress() {
-            return underWay;
+            return inProgress;
         }
 
         @Override
         public void assign(Candidate chosen) {
             runner = chosen.runner();
-            placed.add(name);
+            assigned.add(name);
         }
     }
 
     @BeforeMethod
     public void begin() {
-        placed.clear();
+        assigned.clear();
         ManualScheduler time = new ManualScheduler();
         registry = new Registry(time.newLoop(), new ObjectDecoder() {
             @Override
@@ -116,22 +116,22 @@
 
     /** Queued requests of programs in progress precede those of new programs, whatever their priority. */
     @Test
-    public void programsUnderWayGoFirst() {
+    public void programsInProgressPrecedeNewOnes() {
         runner("r1", false);
         List<Request> first = List.of(new Request("a", 0, false), new Request("b", 0, false));
         first.forEach(dispatcher::submit);
         dispatcher.submit(new Request("new-urgent", 0, false));
         dispatcher.submit(new Request("new", 1, false));
         dispatcher.submit(new Request("going", 1, true));
-        assertEquals(placed, List.of("a", "b"));
+        assertEquals(assigned, List.of("a", "b"));
         dispatcher.releaseSlot("r1");
         dispatcher.releaseSlot("r1");
-        assertEquals(placed, List.of("a", "b", "going", "new-urgent"));
+        assertEquals(assigned, List.of("a", "b", "going", "new-urgent"));
     }
 
     /** The load reported by peers counts, so that two nodes do not overload one runner. */
     @Test
-    public void whatPeersHaveAtARunnerCounts() {
+    public void peerLoadCounts() {
         runner("r1", false);
         runner("r2", false);
         dispatcher.updatePeerLoads(Map.of("peer", loadAt("r1", SLOTS)));
@@ -142,25 +142,25 @@
 
     /** A draining runner receives no requests; queued ones are assigned as soon as another runner appears. */
     @Test
-    public void drainingRunnersGetNothing() {
+    public void drainingRunnerReceivesNoRequests() {
         runner("r1", true);
         dispatcher.submit(new Request("a", 0, false));
-        assertTrue(placed.isEmpty());
+        assertTrue(assigned.isEmpty());
         runner("r2", false);
-        assertEquals(placed, List.of("a"));
+        assertEquals(assigned, List.of("a"));
     }
 
     /** The peer loads of runners whose ids have the same {@code hashCode} must not be added. */
     @Test
-    public void runnersWhoseNamesShareAHashAreToldApart() {
+    public void runnersWithEqualHashCodesAreDistinguished() {
         assertEquals("Aa".hashCode(), "BB".hashCode());
         List.of("Aa", "BB").forEach(id -> runner(id, false));
         dispatcher.updatePeerLoads(Map.of("peer", loadAt("Aa", SLOTS + 1)));
         dispatcher.submit(new Request("one", 1, false));
-        assertEquals(placed.size(), 1);
+        assertEquals(assigned.size(), 1);
     }
 
-    private static Map<Long, Integer> loadAt(String life, int requests) {
-        return Map.of(RunnerKey.of(life), requests);
+    private static Map<Long, Integer> loadAt(String incarnation, int requests) {
+        return Map.of(RunnerKey.of(incarnation), requests);
     }
 }
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/EventStreamReaderTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/EventStreamReaderTest.java
@@ -8,17 +8,17 @@
 import org.testng.annotations.Test;
 
 public class EventStreamReaderTest {
-    private static String take(EventStreamReader reader, String text) {
+    private static String parse(EventStreamReader reader, String text) {
         return new String(reader.parse(text.getBytes(UTF_8)), UTF_8);
     }
 
     @Test
-    public void passesOnWholeEventsOnly() {
+    public void emitsCompleteEventsOnly() {
         EventStreamReader reader = new EventStreamReader(true);
-        assertEquals(take(reader, "id: 1\nda"), "");
+        assertEquals(parse(reader, "id: 1\nda"), "");
         assertFalse(reader.isWellFormed());
-        assertEquals(take(reader, "ta: one\n\nid: 2\n"), "id: 1\ndata: one\n\n");
-        assertEquals(take(reader, "data: two\n\n"), "id: 2\ndata: two\n\n");
+        assertEquals(parse(reader, "ta: one\n\nid: 2\n"), "id: 1\ndata: one\n\n");
+        assertEquals(parse(reader, "data: two\n\n"), "id: 2\ndata: two\n\n");
         assertTrue(reader.isWellFormed());
         assertEquals(reader.eventCount(), 2);
         assertEquals(new String(reader.data(), UTF_8), "one\ntwo\n");
@@ -28,16 +28,16 @@
     @Test
     public void stopsAtAGap() {
         EventStreamReader reader = new EventStreamReader(false);
-        assertEquals(take(reader, "id: 1\ndata: a\n\n"), "id: 1\ndata: a\n\n");
-        assertEquals(take(reader, "id: 3\ndata: c\n\n"), "");
+        assertEquals(parse(reader, "id: 1\ndata: a\n\n"), "id: 1\ndata: a\n\n");
+        assertEquals(parse(reader, "id: 3\ndata: c\n\n"), "");
         assertTrue(reader.isOutOfOrder());
     }
 
     @Test
-    public void keepsTheLineThatSaysAVersionChanged() {
+    public void keepsUnknownFields() {
         EventStreamReader reader = new EventStreamReader(true);
         String event = "x-version: 3\nid: 7\ndata: a\n\n";
-        assertEquals(take(reader, event), event);
+        assertEquals(parse(reader, event), event);
         assertEquals(new String(reader.data(), UTF_8), "a\n");
     }
 }
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/QueueWaitTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/QueueWaitTest.java
@@ -12,35 +12,35 @@
 
 /** Timeouts of a request's wait for a runner. */
 public class QueueWaitTest {
-    private final List<String> seen = new ArrayList<>();
+    private final List<String> calls = new ArrayList<>();
 
     /** The placement must be retried near the end of the wait, also if no other event occurs at the node. */
     @Test
-    public void nearItsEndAnyRunnerWillDo() {
-        seen.clear();
+    public void placementIsRetriedNearTimeout() {
+        calls.clear();
         ManualScheduler time = new ManualScheduler();
-        QueueWait wait = new QueueWait(time.newLoop(), () -> seen.add("again"));
-        wait.start(Duration.ofMillis(900), () -> seen.add("over"));
+        QueueWait wait = new QueueWait(time.newLoop(), () -> calls.add("again"));
+        wait.start(Duration.ofMillis(900), () -> calls.add("over"));
         time.advance(Duration.ofMillis(700));
         assertFalse(wait.isNearTimeout());
         time.advance(Duration.ofMillis(50));
         assertTrue(wait.isNearTimeout());
-        assertEquals(seen, List.of("again"));
+        assertEquals(calls, List.of("again"));
         time.advance(Duration.ofMillis(200));
-        assertEquals(seen, List.of("again", "over"));
+        assertEquals(calls, List.of("again", "over"));
     }
 
     @Test
-    public void aWaitThatEndedIsQuietAndMayBeginAnew() {
-        seen.clear();
+    public void cancelledWaitRunsNothingAndCanRestart() {
+        calls.clear();
         ManualScheduler time = new ManualScheduler();
-        QueueWait wait = new QueueWait(time.newLoop(), () -> seen.add("again"));
-        wait.start(Duration.ofMillis(900), () -> seen.add("over"));
+        QueueWait wait = new QueueWait(time.newLoop(), () -> calls.add("again"));
+        wait.start(Duration.ofMillis(900), () -> calls.add("over"));
         time.advance(Duration.ofMillis(800));
         wait.cancel();
         time.advance(Duration.ofSeconds(2));
-        assertEquals(seen, List.of("again"));
-        wait.start(Duration.ofMillis(100), () -> seen.add("over"));
+        assertEquals(calls, List.of("again"));
+        wait.start(Duration.ofMillis(100), () -> calls.add("over"));
         assertFalse(wait.isNearTimeout());
     }
 }
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RelayTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RelayTest.java
@@ -46,7 +46,7 @@
 /** Processing of requests between a caller and runners, over real connections. */
 public class RelayTest {
     private static final String OK = "200 OK";
-    private static final int PATIENCE_MILLIS = 20_000;
+    private static final int TIMEOUT_MILLIS = 20_000;
 
     private final Map<String, Runner> entries = new HashMap<>();
     private final List<ScriptedRunner> runners = new ArrayList<>();
@@ -71,7 +71,7 @@
             }
         });
         Dispatcher dispatcher = new Dispatcher(registry, new Random(1), "z", loop.clock()::nanos);
-        ReplicaCalls calls = new ReplicaCalls(loop, new NoFrames(), "e", request -> new CompletableFuture<>());
+        ReplicaCalls calls = new ReplicaCalls(loop, new DiscardingSender(), "e", request -> new CompletableFuture<>());
         Relay relay = new Relay(
                 threads,
                 loop,
@@ -102,7 +102,7 @@
         threads.close();
     }
 
-    private static final class NoFrames implements FrameSender {
+    private static final class DiscardingSender implements FrameSender {
         @Override
         public void send(String address, byte[] frame) {}
 
@@ -142,42 +142,42 @@
     private ScriptedRunner runner(String id, Function<String, String> script) throws IOException {
         ScriptedRunner runner = new ScriptedRunner(id, script);
         runners.add(runner);
-        know(runner.entry());
+        register(runner.entry());
         return runner;
     }
 
-    private void know(Runner runner) {
+    private void register(Runner runner) {
         entries.put(runner.id(), runner);
         loop.execute(() -> registry.applyRunnerChanges(List.of(new SharedObject(runner.id(), 1, false, new byte[0]))));
     }
 
-    private void knowManifest() {
+    private void publishManifest() {
         loop.execute(() -> registry.applyManifestChanges(List.of(new SharedObject("main", 1, false, new byte[0]))));
     }
 
-    private Socket send(String path, String more) throws IOException {
+    private Socket send(String path, String headers) throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.port());
-        socket.setSoTimeout(PATIENCE_MILLIS);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         String text = "POST " + path + " HTTP/1.1\r\nHost: h\r\nParsleydrift-Request: q1\r\nConnection: close\r\n"
-                + more + "Content-Length: 2\r\n\r\nhi";
+                + headers + "Content-Length: 2\r\n\r\nhi";
         socket.getOutputStream().write(text.getBytes(UTF_8));
         return socket;
     }
 
-    private String call(String path, String more) throws IOException {
-        try (Socket socket = send(path, more)) {
+    private String call(String path, String headers) throws IOException {
+        try (Socket socket = send(path, headers)) {
             return new String(socket.getInputStream().readAllBytes(), ISO_8859_1);
         }
     }
 
-    private static Function<String, String> says(String status, String more, String body) {
-        return request -> ScriptedRunner.answer(status, request, more, body);
+    private static Function<String, String> respondWith(String status, String headers, String body) {
+        return request -> ScriptedRunner.response(status, request, headers, body);
     }
 
     @Test
-    public void theRunnersAnswerComesBackUntouched() throws IOException {
-        knowManifest();
-        ScriptedRunner runner = runner("r1", says("200 Fine", "Parsleydrift-Stamp: abc\r\n", "done"));
+    public void responseOfRunnerIsForwardedUnchanged() throws IOException {
+        publishManifest();
+        ScriptedRunner runner = runner("r1", respondWith("200 Fine", "Parsleydrift-Stamp: abc\r\n", "done"));
         String answer = call("/once/x?y=1", "Parsleydrift-Deadline-Ms: 5000\r\nParsleydrift-Expect-Runner: other\r\n");
         assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
         assertTrue(answer.contains("Parsleydrift-Stamp: abc") && answer.endsWith("\r\n\r\ndone"), answer);
@@ -189,28 +189,28 @@
 
     /** A 404, after which callers do not retry, must not be sent under a manifest that may be outdated. */
     @Test
-    public void noRouteIsSaidOnlyUnderAManifestThatIsKnownToBeTheNewest() throws IOException {
-        knowManifest();
+    public void missingRouteIsReportedOnlyUnderCurrentManifest() throws IOException {
+        publishManifest();
         loop.execute(() -> registry.setManifestCurrent(false));
-        String unsure = call("/added/", "Parsleydrift-Deadline-Ms: 5000\r\n");
+        String outdated = call("/added/", "Parsleydrift-Deadline-Ms: 5000\r\n");
         assertTrue(
-                unsure.startsWith("HTTP/1.1 503 ")
-                        && unsure.toLowerCase(Locale.ROOT).contains("retry-after"),
-                unsure);
+                outdated.startsWith("HTTP/1.1 503 ")
+                        && outdated.toLowerCase(Locale.ROOT).contains("retry-after"),
+                outdated);
         loop.execute(() -> registry.setManifestCurrent(true));
-        String sure = call("/added/", "Parsleydrift-Deadline-Ms: 5000\r\n");
-        assertTrue(sure.startsWith("HTTP/1.1 404 "), sure);
+        String current = call("/added/", "Parsleydrift-Deadline-Ms: 5000\r\n");
+        assertTrue(current.startsWith("HTTP/1.1 404 "), current);
     }
 
     /** A request that arrives before the first manifest must wait for it instead of being rejected. */
     @Test
-    public void aRequestWaitsForTheFirstManifest() throws IOException {
-        runner("r1", says(OK, "", "done"));
+    public void requestWaitsForFirstManifest() throws IOException {
+        runner("r1", respondWith(OK, "", "done"));
         try (Socket socket = send("/once/", "Parsleydrift-Deadline-Ms: 60000\r\n")) {
             while (openRequests() == 0) {
                 Thread.onSpinWait();
             }
-            knowManifest();
+            publishManifest();
             String answer = new String(socket.getInputStream().readAllBytes(), ISO_8859_1);
             assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
         }
@@ -225,21 +225,21 @@
     /** A request that a runner reports as not executed goes to another runner, whatever the route. */
     @Test
     public void notExecutedGoesToAnotherRunner() throws IOException {
-        knowManifest();
-        Function<String, String> full = says("503 Full", "Parsleydrift-Not-Executed: 1\r\n", "");
+        publishManifest();
+        Function<String, String> full = respondWith("503 Full", "Parsleydrift-Not-Executed: 1\r\n", "");
         ScriptedRunner first = runner("r1", full);
         ScriptedRunner second = runner("r2", full);
         String refused = call("/once/", "");
         assertTrue(refused.startsWith("HTTP/1.1 503 ") && refused.contains("Retry-After: "), refused);
         assertEquals(first.requests.size() + second.requests.size(), 2);
-        runner("r3", says(OK, "", "done"));
+        runner("r3", respondWith(OK, "", "done"));
         assertTrue(call("/once/", "").startsWith("HTTP/1.1 200 "));
     }
 
     /** A reset after the request was sent must not count as "not run". */
     @Test
-    public void aResetAfterSendingIsUnknown() throws IOException {
-        knowManifest();
+    public void resetAfterSendingIsUnknown() throws IOException {
+        publishManifest();
         ScriptedRunner first = runner("r1", request -> ScriptedRunner.RESET);
         ScriptedRunner second = runner("r2", request -> ScriptedRunner.RESET);
         assertTrue(call("/once/", "").startsWith("HTTP/1.1 502 "));
@@ -248,16 +248,16 @@
 
     /** A runner's 503 without the not-executed header must not be forwarded, since callers take it as "not run". */
     @Test
-    public void aBusyAnswerWithoutTheWordIsUnknown() throws IOException {
-        knowManifest();
-        runner("r1", says("503 Busy", "Parsleydrift-Stamp: abc\r\n", ""));
+    public void unconfirmed503IsUnknown() throws IOException {
+        publishManifest();
+        runner("r1", respondWith("503 Busy", "Parsleydrift-Stamp: abc\r\n", ""));
         String answer = call("/once/", "");
         assertTrue(answer.startsWith("HTTP/1.1 502 ") && !answer.contains("Stamp"), answer);
     }
 
     @Test
-    public void anIdempotentRequestIsSentAgainWithinItsAttempts() throws IOException {
-        knowManifest();
+    public void idempotentRequestIsRetriedUpToMaxAttempts() throws IOException {
+        publishManifest();
         ScriptedRunner first = runner("r1", request -> ScriptedRunner.RESET);
         ScriptedRunner second = runner("r2", request -> ScriptedRunner.RESET);
         ScriptedRunner third = runner("r3", request -> ScriptedRunner.RESET);
@@ -267,11 +267,12 @@
 
     /** An idempotent call without a response within the target latency must be retried at another runner. */
     @Test
-    public void anIdempotentCallWhoseAnswerIsLostGoesToAnotherRunner() throws Exception {
-        knowManifest();
+    public void idempotentCallWithoutResponseIsRetried() throws Exception {
+        publishManifest();
         AtomicInteger calls = new AtomicInteger();
-        Function<String, String> losesTheFirst = request ->
-                calls.getAndIncrement() == 0 ? ScriptedRunner.SILENCE : ScriptedRunner.answer(OK, request, "", "done");
+        Function<String, String> losesTheFirst = request -> calls.getAndIncrement() == 0
+                ? ScriptedRunner.SILENCE
+                : ScriptedRunner.response(OK, request, "", "done");
         ScriptedRunner first = runner("r1", losesTheFirst);
         ScriptedRunner second = runner("r2", losesTheFirst);
         assertTrue(call("/twice/", "").startsWith("HTTP/1.1 200 "));
@@ -281,8 +282,8 @@
 
     /** A non-idempotent call without a response must not be retried, since the runner may be processing it. */
     @Test
-    public void aCallThatMustNotRepeatIsNotSentAgainForSilence() throws Exception {
-        knowManifest();
+    public void nonIdempotentCallWithoutResponseIsNotRetried() throws Exception {
+        publishManifest();
         ScriptedRunner first = runner("r1", request -> ScriptedRunner.SILENCE);
         ScriptedRunner second = runner("r2", request -> ScriptedRunner.SILENCE);
         assertTrue(call("/short/", "").startsWith("HTTP/1.1 504 "));
@@ -291,12 +292,12 @@
 
     /** "Not executed" by the second runner must not hide that the first one may have run the call. */
     @Test
-    public void notExecutedByTheSecondRunnerDoesNotSpeakForTheFirst() throws IOException {
-        knowManifest();
+    public void notExecutedBySecondRunnerLeavesOutcomeUnknown() throws IOException {
+        publishManifest();
         AtomicInteger calls = new AtomicInteger();
         Function<String, String> script = request -> calls.getAndIncrement() == 0
                 ? ScriptedRunner.RESET
-                : ScriptedRunner.answer("503 Full", request, "Parsleydrift-Not-Executed: 1\r\n", "");
+                : ScriptedRunner.response("503 Full", request, "Parsleydrift-Not-Executed: 1\r\n", "");
         runner("r1", script);
         runner("r2", script);
         String answer = call("/twice/", "");
@@ -305,12 +306,12 @@
     }
 
     @Test
-    public void aRunnerThatCannotBeReachedCostsNoAttempt() throws IOException {
-        knowManifest();
-        ScriptedRunner gone = new ScriptedRunner("r0", says(OK, "", ""));
+    public void unreachableRunnerCostsNoAttempt() throws IOException {
+        publishManifest();
+        ScriptedRunner gone = new ScriptedRunner("r0", respondWith(OK, "", ""));
         gone.close();
-        know(gone.entry());
-        runner("r1", says(OK, "", "done"));
+        register(gone.entry());
+        runner("r1", respondWith(OK, "", "done"));
         for (int i = 0; i < 4; i++) {
             assertTrue(call("/once/", "").startsWith("HTTP/1.1 200 "));
         }
@@ -318,30 +319,30 @@
 
     /** At the route's timeout the caller gets its response and the request is cancelled at the runner. */
     @Test
-    public void theRoutesTimeoutEndsTheRequest() throws Exception {
-        knowManifest();
+    public void routeTimeoutCancelsRequest() throws Exception {
+        publishManifest();
         ScriptedRunner runner = runner("r1", request -> ScriptedRunner.SILENCE);
         assertTrue(call("/short/", "").startsWith("HTTP/1.1 504 "));
-        assertTrue(runner.left.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+        assertTrue(runner.disconnected.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
     }
 
     /** A request whose caller disconnects must be cancelled at the runner. */
     @Test
-    public void aCallerThatLeavesStopsTheRunner() throws Exception {
-        knowManifest();
+    public void disconnectOfCallerCancelsRequest() throws Exception {
+        publishManifest();
         ScriptedRunner runner = runner("r1", request -> ScriptedRunner.SILENCE);
         Socket socket = send("/once/", "");
         while (runner.requests.isEmpty()) {
             Thread.onSpinWait();
         }
         socket.close();
-        assertTrue(runner.left.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+        assertTrue(runner.disconnected.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
     }
 
     /** A broken stream must have neither a terminating chunk nor a partial event. */
     @Test
-    public void aStreamThatBreaksOffLooksBroken() throws IOException {
-        knowManifest();
+    public void brokenStreamLooksIncomplete() throws IOException {
+        publishManifest();
         runner(
                 "r1",
                 request ->
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestMatchTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestMatchTest.java
@@ -22,7 +22,7 @@
 public class RequestMatchTest {
     private static final HeaderNames DIALECT = HeaderNames.defaults();
 
-    private static TeamKeys.Holder holder(String name, String key) {
+    private static TeamKeys.Holder keyHolder(String name, String key) {
         return new TeamKeys.Holder(new Team(name, OptionalInt.empty(), Quota.UNLIMITED), List.of(key));
     }
 
@@ -61,8 +61,8 @@
      * read the turns of another owner.
      */
     @Test
-    public void eachTeamOwnsItsTurnsAlone() {
-        Optional<TeamKeys> teams = Optional.of(new TeamKeys(List.of(holder("a", "k1"), holder("a1:b:", "k2"))));
+    public void ownerPrefixesDoNotOverlap() {
+        Optional<TeamKeys> teams = Optional.of(new TeamKeys(List.of(keyHolder("a", "k1"), keyHolder("a1:b:", "k2"))));
         String a = owner(teams, "/closed/", "k1");
         String longer = owner(teams, "/closed/", "k2");
         String open = owner(teams, "/open/", "k1");
@@ -74,8 +74,8 @@
     }
 
     @Test
-    public void anotherTeamsKeyIsAnotherTeam() {
-        Optional<TeamKeys> teams = Optional.of(new TeamKeys(List.of(holder("a", "k1"), holder("b", "k2"))));
+    public void keysAreMatchedToTheirTeams() {
+        Optional<TeamKeys> teams = Optional.of(new TeamKeys(List.of(keyHolder("a", "k1"), keyHolder("b", "k2"))));
         assertEquals(
                 ((RequestMatch.Found) match(teams, "/closed/x", "k2"))
                         .team()
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestFactsTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestParametersTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 
 /** Parsing of request headers. */
-public class RequestFactsTest {
+public class RequestParametersTest {
     private static List<PromptPart> prompt(String parts, String program, String budget) {
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
         headers.set("Parsleydrift-Request", "q1");
@@ -27,20 +27,20 @@
     }
 
     @Test
-    public void readsThePartsInOrder() {
+    public void parsesPartsInOrder() {
         assertEquals(prompt("a1:512, b2:40", "", ""), List.of(new PromptPart("a1", 512), new PromptPart("b2", 40)));
     }
 
     /** A malformed header that only affects placement must not lead to a rejection. */
     @Test
-    public void partsThatMakeNoSenseCountAsNone() {
+    public void malformedPartsAreIgnored() {
         List.of("", "x", "a:", ":5", "a:-5", "a:5,,b:6", "a:5,", "a:99999999999", "a:1.5")
                 .forEach(parts -> assertEquals(prompt(parts, "", ""), List.of(), parts));
     }
 
     /** Turns of a program that sends no prompt parts still share one part. */
     @Test
-    public void withoutPartsTheProgramIsOne() {
+    public void programIsOnePartByDefault() {
         List<PromptPart> whole = prompt("", "p1", "100");
         assertEquals(whole.stream().map(PromptPart::id).toList(), List.of("p1"));
         assertTrue(whole.getFirst().tokens() > 0);
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RunnerConnectionTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RunnerConnectionTest.java
@@ -21,12 +21,12 @@
 public class RunnerConnectionTest {
     private static final String STAMP = "Parsleydrift-Stamp: s\r\n";
 
-    private final List<RunnerConnection> kept = new ArrayList<>();
+    private final List<RunnerConnection> pooled = new ArrayList<>();
     private final List<String> events = new ArrayList<>();
     private RunnerConnection connection;
     private EmbeddedChannel channel;
 
-    private final RunnerResponseListener answer = new RunnerResponseListener() {
+    private final RunnerResponseListener listener = new RunnerResponseListener() {
         @Override
         public void onHead(int status, HttpHeaders headers) {
             events.add("head " + status);
@@ -50,29 +50,29 @@
 
     @BeforeMethod
     public void connect() {
-        kept.clear();
+        pooled.clear();
         events.clear();
         ConnectionPool pool = new ConnectionPool() {
             @Override
             public void release(RunnerConnection idle) {
-                kept.add(idle);
+                pooled.add(idle);
             }
 
             @Override
             public void remove(RunnerConnection closed) {
-                kept.remove(closed);
+                pooled.remove(closed);
             }
         };
         connection = new RunnerConnection(pool, "r1", HeaderNames.defaults(), new ManualScheduler());
         channel = new EmbeddedChannel(new HttpResponseDecoder(), connection);
     }
 
-    private void ask(String id) {
+    private void send(String id) {
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
-        connection.send(new RunnerRequest(id, "GET", "/a/", headers, new byte[0], true), answer);
+        connection.send(new RunnerRequest(id, "GET", "/a/", headers, new byte[0], true), listener);
     }
 
-    private static String answerFor(String id, String body) {
+    private static String responseTo(String id, String body) {
         return "HTTP/1.1 200 OK\r\nParsleydrift-Request: " + id + "\r\n" + STAMP + "Content-Length: " + body.length()
                 + "\r\n\r\n" + body;
     }
@@ -82,48 +82,48 @@
     }
 
     @Test
-    public void aWholeAnswerLeavesTheConnectionForTheNextRequest() {
-        ask("q1");
-        receive(answerFor("q1", "one"));
+    public void completeResponseReturnsConnectionToPool() {
+        send("q1");
+        receive(responseTo("q1", "one"));
         assertEquals(events, List.of("head 200", "part one", "end"));
-        assertEquals(kept, List.of(connection));
+        assertEquals(pooled, List.of(connection));
     }
 
     /** A duplicate response to an earlier request must not be taken for that of the current one. */
     @Test
-    public void aSecondAnswerToAnEarlierRequestIsSkipped() {
-        ask("q1");
-        receive(answerFor("q1", "one"));
-        kept.clear();
+    public void duplicateResponseIsSkipped() {
+        send("q1");
+        receive(responseTo("q1", "one"));
+        pooled.clear();
         events.clear();
-        ask("q2");
-        receive(answerFor("q1", "one") + answerFor("q2", "two"));
+        send("q2");
+        receive(responseTo("q1", "one") + responseTo("q2", "two"));
         assertEquals(events, List.of("head 200", "part two", "end"));
-        assertEquals(kept, List.of());
+        assertEquals(pooled, List.of());
         assertFalse(channel.isOpen());
     }
 
     /** An unsolicited response closes an idle connection. */
     @Test
-    public void anIdleConnectionThatSpeaksIsClosed() {
-        ask("q1");
-        receive(answerFor("q1", "one"));
-        receive(answerFor("q1", "one"));
+    public void unsolicitedResponseClosesConnection() {
+        send("q1");
+        receive(responseTo("q1", "one"));
+        receive(responseTo("q1", "one"));
         assertFalse(channel.isOpen());
-        assertEquals(kept, List.of());
+        assertEquals(pooled, List.of());
     }
 
     @Test
-    public void anAnswerThatIsCutIsBrokenAndMayHaveRun() {
-        ask("q1");
+    public void truncatedResponseMayHaveRun() {
+        send("q1");
         receive("HTTP/1.1 200 OK\r\nParsleydrift-Request: q1\r\n" + STAMP + "Content-Length: 10\r\n\r\nhalf");
         channel.close();
         assertEquals(events, List.of("head 200", "part half", "broken true"));
     }
 
     @Test
-    public void bytesThatAreNoAnswerBreakIt() {
-        ask("q1");
+    public void malformedResponseFails() {
+        send("q1");
         receive("garbage without any sense\r\n\r\n");
         assertEquals(events, List.of("broken true"));
         assertFalse(channel.isOpen());
@@ -131,13 +131,13 @@
 
     /** A response without a length is complete when its connection is closed, but not when it is reset. */
     @Test
-    public void anAnswerWithoutLengthEndsWithItsConnection() {
-        ask("q1");
+    public void responseWithoutLengthEndsWithConnection() {
+        send("q1");
         receive("HTTP/1.1 200 OK\r\nParsleydrift-Request: q1\r\n" + STAMP + "\r\nbody");
         channel.close();
         assertEquals(events, List.of("head 200", "part body", "end"));
         connect();
-        ask("q1");
+        send("q1");
         receive("HTTP/1.1 200 OK\r\nParsleydrift-Request: q1\r\n" + STAMP + "\r\nbody");
         channel.pipeline().fireExceptionCaught(new java.io.IOException("connection reset"));
         assertTrue(events.contains("broken true"));
@@ -146,17 +146,17 @@
 
     /** A success response without request id or stamp must not be forwarded, even as the first one on a connection. */
     @Test(dataProvider = "unprovenHeads")
-    public void aSuccessWithoutIdOrStampIsBroken(String head) {
-        ask("q1");
+    public void successWithoutIdOrStampFails(String head) {
+        send("q1");
         receive("HTTP/1.1 200 OK\r\n" + head + "Content-Length: 4\r\n\r\nbody");
         assertEquals(events, List.of("broken true"));
         assertFalse(channel.isOpen());
-        assertEquals(kept, List.of());
+        assertEquals(pooled, List.of());
     }
 
     /** Response heads without request id, stamp or both. */
     @DataProvider
-    public Object[][] unprovenHeads() {
+    public Object[][] unauthenticatedHeads() {
         return new Object[][] {{""}, {STAMP}, {"Parsleydrift-Request: q1\r\n"}};
     }
 }
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/ScriptedRunner.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/ScriptedRunner.java
@@ -22,7 +22,7 @@
     static final String SILENCE = "silence";
 
     final List<String> requests = new CopyOnWriteArrayList<>();
-    final CountDownLatch left = new CountDownLatch(1);
+    final CountDownLatch disconnected = new CountDownLatch(1);
     private final ServerSocket listener;
     private final String id;
     private final Function<String, String> script;
@@ -40,9 +40,10 @@
         return new Runner(id, "s", "127.0.0.1:" + listener.getLocalPort(), "z", 4, false);
     }
 
-    static String answer(String status, String request, String more, String body) {
+    static String response(String status, String request, String headers, String body) {
         return "HTTP/1.1 " + status + "\r\nParsleydrift-Request: " + header(request, "Parsleydrift-Request") + "\r\n"
-                + (more.contains("Parsleydrift-Stamp") ? "" : "Parsleydrift-Stamp: s\r\n") + more + "Content-Length: "
+                + (headers.contains("Parsleydrift-Stamp") ? "" : "Parsleydrift-Stamp: s\r\n") + headers
+                + "Content-Length: "
                 + body.length() + "\r\n\r\n" + body;
     }
 
@@ -87,9 +88,9 @@
                     socket.getOutputStream().write(reply.getBytes(ISO_8859_1));
                 }
             }
-            left.countDown();
+            disconnected.countDown();
         } catch (IOException closed) {
-            left.countDown();
+            disconnected.countDown();
         }
     }
 
@@ -107,8 +108,8 @@
             String length = header(text.toString(), "Content-Length");
             byte[] body = in.readNBytes(length.isEmpty() ? 0 : Integer.parseInt(length));
             return text + new String(body, ISO_8859_1);
-        } catch (IOException fault) {
-            throw new UncheckedIOException(fault);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
         }
     }
 }
