--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RunnerConnectionTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RunnerConnectionTest.java
@@ -145,7 +145,7 @@
     }
 
     /** A success response without request id or stamp must not be forwarded, even as the first one on a connection. */
-    @Test(dataProvider = "unprovenHeads")
+    @Test(dataProvider = "unauthenticatedHeads")
     public void successWithoutIdOrStampFails(String head) {
         send("q1");
         receive("HTTP/1.1 200 OK\r\n" + head + "Content-Length: 4\r\n\r\nbody");
