--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/QuotaPolicy.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/QuotaPolicy.java
@@ -27,20 +27,20 @@
      * Returns the limit for the recent half of the window, in requests. It bounds bursts, and lets a fleet that has
      * lost all its counts continue at the nominal rate.
      */
-    double recentLimit(Quota allotment) {
-        return allotment.maxRequests(windowSeconds() / 2) + tolerance;
+    double recentLimit(Quota quota) {
+        return quota.maxRequests(windowSeconds() / 2) + tolerance;
     }
 
     /**
      * Returns the limit for the whole window, in requests. The rate counts as used up for the unobserved part of the
      * window; the burst and the tolerance shrink as that part grows.
      *
-     * @param allotment the team's quota
+     * @param quota the team's quota
      * @param unobserved share of the window that precedes the start of nodes, 0 to 1
      */
-    double windowLimit(Quota allotment, double unobserved) {
-        double excess = allotment.burst() + GRANTED_TOLERANCE_SHARE * tolerance;
-        return allotment.ratePerSecond() * windowSeconds() * (1 - unobserved) + excess * observedFactor(unobserved);
+    double windowLimit(Quota quota, double unobserved) {
+        double excess = quota.burst() + GRANTED_TOLERANCE_SHARE * tolerance;
+        return quota.ratePerSecond() * windowSeconds() * (1 - unobserved) + excess * observedFactor(unobserved);
     }
 
     /** Returns the requests by which unreported admissions may exceed the limit; 0 if much is unobserved. */
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/QuotaFleet.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/QuotaFleet.java
@@ -134,14 +134,14 @@
         attempts++;
         switch (node.quotas.acquire(team, request.step > 0, true)) {
             case QuotaDecision.Allowed ignored -> recordSent(request);
-            case QuotaDecision.Exceeded over -> {
+            case QuotaDecision.Exceeded exceeded -> {
                 rejected++;
                 if (isBelowLimit(request)) {
                     rejectedBelowLimit++;
                     rejectionDetails += " " + nowMillis + ":" + request.step + " ran " + sentTimes.size() + " begun "
                             + startTimes.size() + " " + node.quotas.report().teams();
                 }
-                scheduleRetry(request, (int) (over.retryAfter().toMillis() * (1 + random.nextDouble() / 2)));
+                scheduleRetry(request, (int) (exceeded.retryAfter().toMillis() * (1 + random.nextDouble() / 2)));
             }
             case QuotaDecision.Undetermined ignored -> scheduleRetry(request, 300 + random.nextInt(150));
         }
@@ -151,9 +151,9 @@
     private boolean isBelowLimit(Request request) {
         dropExpired(sentTimes);
         dropExpired(startTimes);
-        double most = team.quota().maxRequests(WINDOW.toMillis() / 1000.0);
-        boolean programs = request.step > 0 || (startTimes.size() + 1) * REQUESTS_PER_PROGRAM <= most;
-        return programs && sentTimes.size() + 1 <= most;
+        double limit = team.quota().maxRequests(WINDOW.toMillis() / 1000.0);
+        boolean programs = request.step > 0 || (startTimes.size() + 1) * REQUESTS_PER_PROGRAM <= limit;
+        return programs && sentTimes.size() + 1 <= limit;
     }
 
     private void dropExpired(Deque<Long> times) {
@@ -215,11 +215,11 @@
             }
         });
         node.lastReports.entrySet().removeIf(each -> {
-            boolean silent = nowMillis - each.getValue() > REPORT_EXPIRY_MILLIS;
-            if (silent) {
+            boolean expired = nowMillis - each.getValue() > REPORT_EXPIRY_MILLIS;
+            if (expired) {
                 reports.put("n" + each.getKey(), UsageReport.NONE);
             }
-            return silent;
+            return expired;
         });
         node.quotas.updatePeers(reports);
     }
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/QuotaTrackerTest.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/QuotaTrackerTest.java
@@ -147,8 +147,8 @@
     private static QuotaCharge acquire(QuotaTracker quotas, Team team) {
         return switch (quotas.acquire(team, true, true)) {
             case QuotaDecision.Allowed allowed -> allowed.charge().orElseThrow();
-            case QuotaDecision.Exceeded over -> throw new AssertionError(over);
-            case QuotaDecision.Undetermined unsure -> throw new AssertionError(unsure);
+            case QuotaDecision.Exceeded exceeded -> throw new AssertionError(exceeded);
+            case QuotaDecision.Undetermined undetermined -> throw new AssertionError(undetermined);
         };
     }
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Attempts.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Attempts.java
@@ -41,12 +41,12 @@
     }
 
     /** Returns whether the route's limit permits another attempt that may run, after the current one. */
-    boolean isRetryAllowed(int maxAttempts) {
+    boolean allowsRetry(int maxAttempts) {
         return possibleRuns + 1 < maxAttempts;
     }
 
     /** Returns whether the request may be sent to one of the given runners. */
-    boolean canBeSent(List<Runner> runners) {
+    boolean canTryAnother(List<Runner> runners) {
         return count < RelayLimits.MAX_ATTEMPTS && hasUntried(runners);
     }
 
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Relay.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Relay.java
@@ -63,9 +63,9 @@
     }
 
     @Override
-    public Runnable handle(CallerRequest request, CallerResponse answer) {
-        Optional<RequestParameters> facts = RequestParameters.parse(request.headers(), headerNames);
-        RelayedRequest relayed = new RelayedRequest(this, request, facts, answer);
+    public Runnable handle(CallerRequest request, CallerResponse response) {
+        Optional<RequestParameters> parameters = RequestParameters.parse(request.headers(), headerNames);
+        RelayedRequest relayed = new RelayedRequest(this, request, parameters, response);
         openRequests++;
         relayed.start();
         return relayed::handleDisconnect;
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayLimits.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayLimits.java
@@ -40,7 +40,7 @@
     static final Duration RETRY_DELAY_OLD_MANIFEST = Duration.ofSeconds(1);
 
     /** Retry delay if the store VMs are unavailable. */
-    static final Duration RETRY_DELAY_STORES_UNAVAILABLE = Duration.ofMillis(250);
+    static final Duration RETRY_DELAY_NO_STORES = Duration.ofMillis(250);
 
     /** Retry delay if no runner has a free slot. */
     static final Duration RETRY_DELAY_NO_SLOT = Duration.ofMillis(300);
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
@@ -32,8 +32,8 @@
 
     private final Relay relay;
     private final CallerRequest request;
-    private final CallerResponse callerResponse;
-    private final RequestParameters parameters;
+    private final CallerResponse response;
+    private final RequestParameters params;
     private final long startNanos;
     private final QueueWait queueWait;
     private final Attempts attempts = new Attempts();
@@ -52,12 +52,11 @@
     private byte[] body;
     private RunnerExchange exchange;
 
-    RelayedRequest(
-            Relay relay, CallerRequest request, Optional<RequestParameters> parameters, CallerResponse callerResponse) {
+    RelayedRequest(Relay relay, CallerRequest request, Optional<RequestParameters> params, CallerResponse response) {
         this.relay = relay;
         this.request = request;
-        this.callerResponse = callerResponse;
-        this.parameters = parameters.orElse(null);
+        this.response = response;
+        this.params = params.orElse(null);
         this.startNanos = relay.loop().clock().nanos();
         this.body = request.body();
         this.team = new RequestTeam(relay, request, Optional.empty(), "");
@@ -73,9 +72,9 @@
         stage = RequestStage.MATCHING;
         manifestVersion = manifest.get().version();
         boolean current = relay.registry().isManifestCurrent();
-        switch (RequestMatch.of(manifest.get(), current, request, parameters != null, relay.headerNames())) {
+        switch (RequestMatch.of(manifest.get(), current, request, params != null, relay.headerNames())) {
             case RequestMatch.Denied denied -> respond(denied.status(), DENIED, denied.reason());
-            case RequestMatch.Undetermined unsure -> refuse(unsure.reason(), RelayLimits.RETRY_DELAY_OLD_MANIFEST);
+            case RequestMatch.Undetermined result -> refuse(result.reason(), RelayLimits.RETRY_DELAY_OLD_MANIFEST);
             case RequestMatch.Found found -> handleMatch(found);
         }
     }
@@ -86,13 +85,13 @@
         service = route.selectDestination(relay.random().nextDouble());
         long timeoutMillis = Math.min(
                 route.timeout().toMillis(),
-                parameters.deadlineMillis().orElse(route.timeout().toMillis()));
+                params.deadlineMillis().orElse(route.timeout().toMillis()));
         deadlineNanos = startNanos + Duration.ofMillis(timeoutMillis).toNanos();
         deadlineTimer = relay.loop().schedule(Duration.ofMillis(remainingMillis()), this::handleDeadline);
         Optional<Duration> retryDelay = team.quotaRetryDelay();
         if (retryDelay.isPresent()) {
             refuse(429, QUOTA_EXHAUSTED, retryDelay.get());
-        } else if (parameters.isTurn(route)) {
+        } else if (params.isTurn(route)) {
             beginTurn();
         } else {
             admit();
@@ -100,9 +99,9 @@
     }
 
     private void admit() {
-        switch (team.acquireQuota(isInProgress(), !parameters.program().isEmpty())) {
+        switch (team.acquireQuota(isInProgress(), !params.program().isEmpty())) {
             case QuotaDecision.Allowed ignored -> enqueue();
-            case QuotaDecision.Exceeded over -> refuse(429, QUOTA_EXHAUSTED, over.retryAfter());
+            case QuotaDecision.Exceeded exceeded -> refuse(429, QUOTA_EXHAUSTED, exceeded.retryAfter());
             case QuotaDecision.Undetermined ignored ->
                 refuse("no usage reports from peers", RelayLimits.RETRY_DELAY_NO_PEERS);
         }
@@ -136,8 +135,7 @@
 
     private void waitForManifest() {
         stage = RequestStage.AWAITING_MANIFEST;
-        long remaining =
-                parameters == null ? 0 : parameters.deadlineMillis().orElse(RelayLimits.MAX_MANIFEST_WAIT.toMillis());
+        long remaining = params == null ? 0 : params.deadlineMillis().orElse(RelayLimits.MAX_MANIFEST_WAIT.toMillis());
         long waitMillis =
                 Math.min((long) (remaining * RelayLimits.MAX_MANIFEST_SHARE), RelayLimits.MAX_MANIFEST_WAIT.toMillis());
         manifestTimer = relay.loop().schedule(Duration.ofMillis(waitMillis), () -> {
@@ -172,7 +170,7 @@
 
     @Override
     public List<PromptPart> prompt() {
-        return parameters.prompt();
+        return params.prompt();
     }
 
     @Override
@@ -199,7 +197,7 @@
     public boolean isInProgress() {
         return !reportedParts.isEmpty()
                 || hasHistory
-                || (!parameters.isTurn(route) && !parameters.program().isEmpty());
+                || (!params.isTurn(route) && !params.program().isEmpty());
     }
 
     @Override
@@ -214,7 +212,7 @@
                         .with("runner", runner.incarnation())
                         .with("load", chosen.load())
                         .with("slots", runner.slots())
-                        .with("prompt", parameters.promptTokens())
+                        .with("prompt", params.promptTokens())
                         .with("missing", chosen.uncachedTokens())
                         .with("offer", attempts.count())
                         .with("manifest", manifestVersion)
@@ -245,14 +243,14 @@
         return Math.max(0, (deadlineNanos - relay.loop().clock().nanos()) / 1_000_000);
     }
 
-    CallerResponse callerResponse() {
-        return callerResponse;
+    CallerResponse response() {
+        return response;
     }
 
     RunnerRequest runnerRequest(Runner runner) {
         return RunnerRequest.of(
                 request,
-                parameters,
+                params,
                 team.team(),
                 relay.headerNames(),
                 runner,
@@ -271,7 +269,7 @@
                         .with("runner", runner.incarnation())
                         .with("reason", reason)
                         .toString());
-        if (attempts.canBeSent(relay.dispatcher().runners(service))) {
+        if (attempts.canTryAnother(relay.dispatcher().runners(service))) {
             enqueue();
         } else if (attempts.mayHaveRun()) {
             // "Not executed" by this runner says nothing about an earlier one, which may have run the request.
@@ -305,7 +303,7 @@
 
     private boolean canRetry() {
         return route.isRetriable()
-                && attempts.isRetryAllowed(route.maxAttempts())
+                && attempts.allowsRetry(route.maxAttempts())
                 && remainingMillis() > 0
                 && hasOtherRunner();
     }
@@ -331,13 +329,13 @@
 
     /** Aborts a stream after its start, so that the caller recognizes it as incomplete. */
     void abortStream(String reason) {
-        callerResponse.abort();
+        response.abort();
         finish("stream_cut", reason);
     }
 
     /** Forwards a complete response that is not a stream. */
     void completeResponse(Runner runner, int status, HttpHeaders headers, byte[] bytes) {
-        callerResponse.sendFull(status, ForwardedHeaders.toCaller(headers), bytes);
+        response.sendFull(status, ForwardedHeaders.toCaller(headers), bytes);
         turn.ifPresent(each -> each.settle(runner.incarnation(), 0));
         finish(ANSWERED, String.valueOf(status));
     }
@@ -368,13 +366,13 @@
         }
         relay.metrics()
                 .recordPhase("commit", Duration.ofNanos(relay.loop().clock().nanos() - commitStartNanos));
-        callerResponse.endStream();
+        response.endStream();
         finish(ANSWERED, "stream");
     }
 
     private void beginTurn() {
         stage = RequestStage.BEGINNING;
-        TurnRecord record = new TurnRecord(relay, parameters, route, team.owner());
+        TurnRecord record = new TurnRecord(relay, params, route, team.owner());
         turn = Optional.of(record);
         record.begin(boundedShare(RelayLimits.MAX_BEGIN_SHARE, RelayLimits.MAX_BEGIN_TIME))
                 .thenAccept(this::handleBegin);
@@ -398,7 +396,7 @@
             case BeginResult.BudgetSpent ignored -> respond(402, DENIED, "budget_spent");
             case BeginResult.NoSuchTurn ignored -> respond(404, DENIED, "no_such_turn");
             case BeginResult.Unavailable unavailable ->
-                refuse("store VMs unavailable: " + unavailable.reason(), RelayLimits.RETRY_DELAY_STORES_UNAVAILABLE);
+                refuse("store VMs unavailable: " + unavailable.reason(), RelayLimits.RETRY_DELAY_NO_STORES);
         }
     }
 
@@ -426,8 +424,7 @@
     private void handleDeadline() {
         switch (stage) {
             case ENDED, AWAITING_MANIFEST, MATCHING -> {}
-            case BEGINNING ->
-                refuse("deadline passed before the turn began", RelayLimits.RETRY_DELAY_STORES_UNAVAILABLE);
+            case BEGINNING -> refuse("deadline passed before the turn began", RelayLimits.RETRY_DELAY_NO_STORES);
             case QUEUED -> {
                 relay.dispatcher().withdraw(this);
                 if (attempts.mayHaveRun()) {
@@ -456,15 +453,14 @@
 
     private void refuse(int status, String reason, Duration retryDelay) {
         HttpHeaders headers = ForwardedHeaders.retryAfter(retryDelay, relay.random());
-        callerResponse.sendFull(status, headers, new byte[0]);
+        response.sendFull(status, headers, new byte[0]);
         releaseReservation();
         team.refundQuota();
         finish("refused", reason);
     }
 
     private void respond(int status, String outcome, String reason) {
-        callerResponse.sendFull(
-                status, DefaultHttpHeadersFactory.headersFactory().newHeaders(), new byte[0]);
+        response.sendFull(status, DefaultHttpHeadersFactory.headersFactory().newHeaders(), new byte[0]);
         finish(outcome, reason);
     }
 
@@ -501,13 +497,13 @@
 
     private LogLine logLine(String event) {
         return LogLine.of(event)
-                .with("request", parameters == null ? "-" : parameters.id())
-                .with("program", parameters == null ? "-" : parameters.program())
+                .with("request", params == null ? "-" : params.id())
+                .with("program", params == null ? "-" : params.program())
                 .with("route", route == null ? "-" : route.name());
     }
 
-    private Duration boundedShare(double share, Duration most) {
-        return Duration.ofMillis(Math.min((long) (remainingMillis() * share), most.toMillis()));
+    private Duration boundedShare(double share, Duration limit) {
+        return Duration.ofMillis(Math.min((long) (remainingMillis() * share), limit.toMillis()));
     }
 
     private Duration elapsed() {
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestHandler.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestHandler.java
@@ -7,5 +7,5 @@
      *
      * @return callback to run if the caller disconnects before the response has ended
      */
-    Runnable handle(CallerRequest request, CallerResponse answer);
+    Runnable handle(CallerRequest request, CallerResponse response);
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerExchange.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerExchange.java
@@ -84,7 +84,7 @@
         headers = newHeaders;
         if (streaming && status == 200) {
             streamBegun = true;
-            request.callerResponse().beginStream(status, ForwardedHeaders.toCaller(headers));
+            request.response().beginStream(status, ForwardedHeaders.toCaller(headers));
         }
     }
 
@@ -106,7 +106,7 @@
             connection.cancel();
             onFailure(true, "event ids out of order");
         } else if (complete.length > 0) {
-            request.callerResponse().sendEvents(complete);
+            request.response().sendEvents(complete);
         }
     }
 
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/AbortedTurnTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/AbortedTurnTest.java
@@ -83,7 +83,7 @@
             }
         });
         entry = new ReplicaCalls(loop, senderTo(() -> store), "e", request -> new CompletableFuture<>());
-        store = new ReplicaCalls(loop, senderTo(() -> entry), "s", this::answer);
+        store = new ReplicaCalls(loop, senderTo(() -> entry), "s", this::handleReplicaRequest);
         ConversationClient client = new ConversationClient(loop, entry);
         client.adopt(new StoreSet(1, List.of(new StoreMember("s", "disk", "s")), List.of()));
         Relay relay = new Relay(
@@ -124,7 +124,7 @@
         };
     }
 
-    private CompletableFuture<ReplicaReply> answer(ReplicaRequest request) {
+    private CompletableFuture<ReplicaReply> handleReplicaRequest(ReplicaRequest request) {
         return CompletableFuture.completedFuture(
                 switch (request) {
                     case ReplicaRequest.Write write -> {
@@ -206,8 +206,8 @@
         first.close();
         awaitCounted("q1", 0);
         try (Socket second = send("q2", "")) {
-            String answer = new String(second.getInputStream().readAllBytes(), ISO_8859_1);
-            assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
+            String response = new String(second.getInputStream().readAllBytes(), ISO_8859_1);
+            assertTrue(response.startsWith("HTTP/1.1 200 "), response);
         }
     }
 
@@ -238,8 +238,8 @@
             // A broken stream may end with a reset or with a close.
         }
         try (Socket next = send("q2", "Parsleydrift-Deadline-Ms: 700\r\n")) {
-            String answer = new String(next.getInputStream().readAllBytes(), ISO_8859_1);
-            assertTrue(answer.startsWith("HTTP/1.1 402 "), answer);
+            String response = new String(next.getInputStream().readAllBytes(), ISO_8859_1);
+            assertTrue(response.startsWith("HTTP/1.1 402 "), response);
         }
         assertEquals(countedTokens("q1"), 288);
     }
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/CallerConnectionTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/CallerConnectionTest.java
@@ -27,9 +27,9 @@
         requests.clear();
         responses.clear();
         disconnects = 0;
-        RequestHandler handler = (request, answer) -> {
+        RequestHandler handler = (request, response) -> {
             requests.add(request);
-            responses.add(answer);
+            responses.add(response);
             return () -> disconnects++;
         };
         ConnectionOwner owner = new ConnectionOwner() {
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RelayTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RelayTest.java
@@ -178,9 +178,10 @@
     public void responseOfRunnerIsForwardedUnchanged() throws IOException {
         publishManifest();
         ScriptedRunner runner = runner("r1", respondWith("200 Fine", "Parsleydrift-Stamp: abc\r\n", "done"));
-        String answer = call("/once/x?y=1", "Parsleydrift-Deadline-Ms: 5000\r\nParsleydrift-Expect-Runner: other\r\n");
-        assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
-        assertTrue(answer.contains("Parsleydrift-Stamp: abc") && answer.endsWith("\r\n\r\ndone"), answer);
+        String response =
+                call("/once/x?y=1", "Parsleydrift-Deadline-Ms: 5000\r\nParsleydrift-Expect-Runner: other\r\n");
+        assertTrue(response.startsWith("HTTP/1.1 200 "), response);
+        assertTrue(response.contains("Parsleydrift-Stamp: abc") && response.endsWith("\r\n\r\ndone"), response);
         String request = runner.requests.getFirst();
         assertTrue(request.startsWith("POST /once/x?y=1 HTTP/1.1\r\n") && request.endsWith("hi"), request);
         assertEquals(ScriptedRunner.header(request, "Parsleydrift-Expect-Runner"), "r1");
@@ -211,8 +212,8 @@
                 Thread.onSpinWait();
             }
             publishManifest();
-            String answer = new String(socket.getInputStream().readAllBytes(), ISO_8859_1);
-            assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
+            String response = new String(socket.getInputStream().readAllBytes(), ISO_8859_1);
+            assertTrue(response.startsWith("HTTP/1.1 200 "), response);
         }
     }
 
@@ -251,8 +252,8 @@
     public void unconfirmed503IsUnknown() throws IOException {
         publishManifest();
         runner("r1", respondWith("503 Busy", "Parsleydrift-Stamp: abc\r\n", ""));
-        String answer = call("/once/", "");
-        assertTrue(answer.startsWith("HTTP/1.1 502 ") && !answer.contains("Stamp"), answer);
+        String response = call("/once/", "");
+        assertTrue(response.startsWith("HTTP/1.1 502 ") && !response.contains("Stamp"), response);
     }
 
     @Test
@@ -300,17 +301,17 @@
                 : ScriptedRunner.response("503 Full", request, "Parsleydrift-Not-Executed: 1\r\n", "");
         runner("r1", script);
         runner("r2", script);
-        String answer = call("/twice/", "");
-        assertTrue(answer.startsWith("HTTP/1.1 502 "), answer);
+        String response = call("/twice/", "");
+        assertTrue(response.startsWith("HTTP/1.1 502 "), response);
         assertEquals(calls.get(), 2);
     }
 
     @Test
     public void unreachableRunnerCostsNoAttempt() throws IOException {
         publishManifest();
-        ScriptedRunner gone = new ScriptedRunner("r0", respondWith(OK, "", ""));
-        gone.close();
-        register(gone.entry());
+        ScriptedRunner unreachable = new ScriptedRunner("r0", respondWith(OK, "", ""));
+        unreachable.close();
+        register(unreachable.entry());
         runner("r1", respondWith(OK, "", "done"));
         for (int i = 0; i < 4; i++) {
             assertTrue(call("/once/", "").startsWith("HTTP/1.1 200 "));
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestParametersTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestParametersTest.java
@@ -41,8 +41,8 @@
     /** Turns of a program that sends no prompt parts still share one part. */
     @Test
     public void programIsOnePartByDefault() {
-        List<PromptPart> whole = prompt("", "p1", "100");
-        assertEquals(whole.stream().map(PromptPart::id).toList(), List.of("p1"));
-        assertTrue(whole.getFirst().tokens() > 0);
+        List<PromptPart> prompt = prompt("", "p1", "100");
+        assertEquals(prompt.stream().map(PromptPart::id).toList(), List.of("p1"));
+        assertTrue(prompt.getFirst().tokens() > 0);
     }
 }
