--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/QuotaTracker.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/QuotaTracker.java
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Replaces the usage reported by peers.
+     * Updates the usage reported by peers.
      *
      * @param reports latest reports by node or zone; a report with 0 nodes for a reporter that is gone
      */
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerChoice.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerChoice.java
@@ -32,7 +32,7 @@
     private RunnerChoice() {}
 
     /**
-     * Chooses a runner with the default sample size.
+     * Chooses a runner with a sample of the default size.
      *
      * @param candidates runners of the service that accept new requests
      * @param typicalUncached average number of uncached prompt tokens per request of the service; 0 without prompts
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Dispatcher.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Dispatcher.java
@@ -88,7 +88,7 @@
     }
 
     /**
-     * Replaces the loads reported by peers and assigns queued requests that have become assignable.
+     * Updates the loads reported by peers and assigns queued requests that have become assignable.
      *
      * @param loads requests by {@link RunnerKey} of the runner's incarnation, for each node or zone; empty for one that
      *     is gone
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
@@ -21,8 +21,7 @@
 
 /**
  * State machine of one request; its states are the values of {@link RequestStage}. A request has one of three outcomes:
- * <i>not run</i>, reported only if no runner can have started it; the response of a runner; and <i>unknown</i>
- * otherwise.
+ * <i>not run</i>, reported only if no runner can have started it; the response of a runner; else <i>unknown</i>.
  */
 final class RelayedRequest implements QueuedRequest {
     private static final Logger LOG = System.getLogger(RelayedRequest.class.getName());
@@ -87,7 +86,7 @@
                 route.timeout().toMillis(),
                 params.deadlineMillis().orElse(route.timeout().toMillis()));
         deadlineNanos = startNanos + Duration.ofMillis(timeoutMillis).toNanos();
-        deadlineTimer = relay.loop().schedule(Duration.ofMillis(remainingMillis()), this::handleDeadline);
+        deadlineTimer = relay.loop().schedule(Duration.ofMillis(leftMillis()), this::handleDeadline);
         Optional<Duration> retryDelay = team.quotaRetryDelay();
         if (retryDelay.isPresent()) {
             refuse(429, QUOTA_EXHAUSTED, retryDelay.get());
@@ -223,14 +222,11 @@
         }
         exchange = new RunnerExchange(this, relay, runner, route.isStreaming(), route.stateful());
         scheduleLatencyTimeout(runner, exchange);
-        // Must come last: a pooled connection may fail at once, and the request is then queued again from within this
-        // call.
+        // Must come last: if a pooled connection fails at once, the request is queued again from within this call.
         exchange.start();
     }
 
-    /**
-     * Schedules a retry of an idempotent call whose response does not arrive within the target latency of its route.
-     */
+    /** Schedules a retry of a retriable call that gets no response within the target latency of its route. */
     private void scheduleLatencyTimeout(Runner runner, RunnerExchange attempt) {
         latencyTimer.cancel();
         if (!route.isStreaming() && !route.targetLatency().isZero() && canRetry()) {
@@ -239,7 +235,7 @@
     }
 
     /** Returns the time until the deadline of the request, ms; 0 once it has passed. */
-    long remainingMillis() {
+    long leftMillis() {
         return Math.max(0, (deadlineNanos - relay.loop().clock().nanos()) / 1_000_000);
     }
 
@@ -249,14 +245,7 @@
 
     RunnerRequest runnerRequest(Runner runner) {
         return RunnerRequest.of(
-                request,
-                params,
-                team.team(),
-                relay.headerNames(),
-                runner,
-                remainingMillis(),
-                body,
-                route.isRetriable());
+                request, params, team.team(), relay.headerNames(), runner, leftMillis(), body, route.isRetriable());
     }
 
     /** Handles an attempt that certainly did not start the request at the runner. */
@@ -302,10 +291,7 @@
     }
 
     private boolean canRetry() {
-        return route.isRetriable()
-                && attempts.allowsRetry(route.maxAttempts())
-                && remainingMillis() > 0
-                && hasOtherRunner();
+        return route.isRetriable() && attempts.allowsRetry(route.maxAttempts()) && leftMillis() > 0 && hasOtherRunner();
     }
 
     private boolean hasOtherRunner() {
@@ -344,7 +330,7 @@
     void commitStream(Runner runner, EventStreamReader events) {
         stage = RequestStage.COMMITTING;
         long commitStartNanos = relay.loop().clock().nanos();
-        turn.map(each -> each.complete(runner.incarnation(), service, request.body(), events, remainingMillis()))
+        turn.map(each -> each.complete(runner.incarnation(), service, request.body(), events, leftMillis()))
                 .orElseGet(() -> CompletableFuture.completedFuture(null))
                 .whenComplete((done, failure) -> relay.loop().execute(() -> handleCommit(commitStartNanos, failure)));
     }
@@ -503,7 +489,7 @@
     }
 
     private Duration boundedShare(double share, Duration limit) {
-        return Duration.ofMillis(Math.min((long) (remainingMillis() * share), limit.toMillis()));
+        return Duration.ofMillis(Math.min((long) (leftMillis() * share), limit.toMillis()));
     }
 
     private Duration elapsed() {
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestStage.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestStage.java
@@ -6,7 +6,7 @@
     AWAITING_MANIFEST,
     /** Being matched to a route and checked against its team's quota. */
     MATCHING,
-    /** A turn that is being begun at the store VMs: its tokens are reserved and its history is read. */
+    /** Beginning a turn at the store VMs, which reserve its tokens and return its history. */
     BEGINNING,
     /** Queued for a runner. */
     QUEUED,
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerRequest.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerRequest.java
@@ -23,12 +23,12 @@
             Optional<Team> team,
             HeaderNames headerNames,
             Runner runner,
-            long remainingMillis,
+            long leftMillis,
             byte[] body,
             boolean retriable) {
         HttpHeaders headers = ForwardedHeaders.toRunner(request.headers(), headerNames);
         headers.set(headerNames.requestId(), parameters.id());
-        headers.set(headerNames.deadlineMillis(), remainingMillis);
+        headers.set(headerNames.deadlineMillis(), leftMillis);
         headers.set(headerNames.expectInstance(), runner.id());
         team.ifPresent(each -> headers.set(headerNames.team(), each.name()));
         headers.set("Host", request.host());
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TurnRecord.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TurnRecord.java
@@ -122,12 +122,12 @@
 
     /** Commits a complete stream. The future fails if the turn must be stored and is not durable in time. */
     CompletableFuture<Void> complete(
-            String runner, String service, byte[] input, EventStreamReader events, long remainingMillis) {
+            String runner, String service, byte[] input, EventStreamReader events, long leftMillis) {
         int tokens = countTokens(events.eventCount(), service);
         if (!route.stateful()) {
             return settle(runner, tokens);
         }
-        Duration timeout = Duration.ofMillis(Math.min(remainingMillis, RelayLimits.MAX_COMMIT_TIME.toMillis()));
+        Duration timeout = Duration.ofMillis(Math.min(leftMillis, RelayLimits.MAX_COMMIT_TIME.toMillis()));
         return store(runner, tokens, input, events.data(), timeout);
     }
 
