--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/QuotaFleet.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/QuotaFleet.java
@@ -138,7 +138,7 @@
                 rejected++;
                 if (isBelowLimit(request)) {
                     rejectedBelowLimit++;
-                    rejectionDetails += " " + nowMillis + ":" + request.step + " ran " + sentTimes.size() + " begun "
+                    rejectionDetails += " " + nowMillis + ":" + request.step + " sent " + sentTimes.size() + " started "
                             + startTimes.size() + " " + node.quotas.report().teams();
                 }
                 scheduleRetry(request, (int) (exceeded.retryAfter().toMillis() * (1 + random.nextDouble() / 2)));
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/RetryBudgetTest.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/RetryBudgetTest.java
@@ -27,6 +27,6 @@
     @Test
     public void retriesOfFailingServiceAreLimited() {
         int retries = granted(1000, 1);
-        assertTrue(retries <= 1000 / 10 + 10, "second tries " + retries);
+        assertTrue(retries <= 1000 / 10 + 10, "retries " + retries);
     }
 }
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/RunnerChoiceTest.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/RunnerChoiceTest.java
@@ -45,28 +45,28 @@
     /** A small difference in load must not outweigh a cached prompt. */
     @Test
     public void cachedPromptOutweighsSmallLoadDifference() {
-        assertEquals(choose(700, engine("held", 14, 200), engine("other", 11, 2500)), "held");
-        assertEquals(choose(700, engine("held", 17, 200), engine("other", 15, 2500)), "held");
+        assertEquals(choose(700, engine("cached", 14, 200), engine("other", 11, 2500)), "cached");
+        assertEquals(choose(700, engine("cached", 17, 200), engine("other", 15, 2500)), "cached");
     }
 
     /** Computing a prompt on an idle engine delays no other request. */
     @Test
     public void idleEngineIsPreferredToBusyOneWithCachedPrompt() {
-        assertEquals(choose(700, engine("held", 14, 200), engine("idle", 0, 2500)), "idle");
+        assertEquals(choose(700, engine("cached", 14, 200), engine("idle", 0, 2500)), "idle");
     }
 
     /** Waiting for the engine that has cached the prompt is cheaper than computing it on a nearly full one. */
     @Test
     public void requestWaitsForFullEngineWithCachedPrompt() {
-        assertEquals(choose(700, engine("held", 20, 200), engine("other", 15, 2500)), "none");
-        assertEquals(choose(700, engine("held", 20, 200), engine("other", 3, 2500)), "other");
+        assertEquals(choose(700, engine("cached", 20, 200), engine("other", 15, 2500)), "none");
+        assertEquals(choose(700, engine("cached", 20, 200), engine("other", 3, 2500)), "other");
     }
 
     /** A request must not wait until its rejection for a stuck engine while others have free slots. */
     @Test
     public void anyFreeEngineIsChosenNearTimeout() {
-        assertEquals(choose(700, true, engine("held", 20, 200), engine("other", 15, 2500)), "other");
-        assertEquals(choose(700, true, engine("held", 20, 200), engine("other", 20, 2500)), "none");
+        assertEquals(choose(700, true, engine("cached", 20, 200), engine("other", 15, 2500)), "other");
+        assertEquals(choose(700, true, engine("cached", 20, 200), engine("other", 20, 2500)), "none");
     }
 
     /**
