--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/AbortedTurnTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/AbortedTurnTest.java
@@ -178,7 +178,7 @@
 
     private int countedTokens(String id) {
         CompletableFuture<Integer> counted = new CompletableFuture<>();
-        loop.execute(() -> counted.complete(grants.get(id).counted()));
+        loop.execute(() -> counted.complete(grants.get(id).countedTokens()));
         return counted.join();
     }
 
