--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/QueueWait.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/QueueWait.java
@@ -1,8 +1,8 @@
 package org.parsleydrift.relay;
 
 import java.time.Duration;
+import org.parsleydrift.kernel.Cancellable;
 import org.parsleydrift.kernel.EventLoop;
-import org.parsleydrift.kernel.LoopTimer;
 
 /**
  * Timers of one request's wait for a runner. A request may wait for the runner that has cached its prompt, but near the
@@ -11,8 +11,8 @@
 final class QueueWait {
     private final EventLoop loop;
     private final Runnable retryPlacement;
-    private LoopTimer affinityTimer = () -> {};
-    private LoopTimer timeoutTimer = () -> {};
+    private Cancellable affinityTimer = () -> {};
+    private Cancellable timeoutTimer = () -> {};
     private boolean nearTimeout;
 
     /** Creates the timers without starting them; the given task retries the placement near the end of the wait. */
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnectionPool.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnectionPool.java
@@ -41,7 +41,7 @@
     RunnerConnectionPool(NetworkThreads threads, EventLoop loop, HeaderNames headerNames) {
         this.loop = loop;
         this.headerNames = headerNames;
-        this.bootstrap = threads.connector(CONNECT_TIMEOUT);
+        this.bootstrap = threads.clientBootstrap(CONNECT_TIMEOUT);
     }
 
     /**
