--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerChoice.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerChoice.java
@@ -36,8 +36,8 @@
      *
      * @param candidates runners of the service that accept new requests
      * @param typicalUncached average number of uncached prompt tokens per request of the service; 0 without prompts
-     * @param anyRunner whether any runner below its maximum load is acceptable, since the request's queue wait is nearly
-     *     over
+     * @param anyRunner whether any runner below its maximum load is acceptable, since the request's queue wait is
+     *     nearly over
      * @param random source of randomness for sampling and ties
      * @return the runner; empty if all are full, or if the best one is full and worth the wait
      */
@@ -51,8 +51,8 @@
      *
      * @param candidates runners of the service that accept new requests
      * @param typicalUncached average number of uncached prompt tokens per request of the service; 0 without prompts
-     * @param anyRunner whether any runner below its maximum load is acceptable, since the request's queue wait is nearly
-     *     over
+     * @param anyRunner whether any runner below its maximum load is acceptable, since the request's queue wait is
+     *     nearly over
      * @param sampleSize number of sampled runners that have cached nothing of the prompt; 0 to compare all
      * @param random source of randomness for sampling and ties
      * @return the runner; empty if all are full, or if the best one is full and worth the wait
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerResponse.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerResponse.java
@@ -3,8 +3,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * Response channel to the caller of one request. Exactly one of a full response, the end of a stream and an abort ends
- * it.
+ * Sends the response to one request. Exactly one of {@link #sendFull}, {@link #endStream} and {@link #abort} ends it.
  */
 interface CallerResponse {
     /** Sends a full response. */
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/HeaderNames.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/HeaderNames.java
@@ -3,8 +3,8 @@
 import java.util.Set;
 
 /**
- * Names of the HTTP headers that the relay reads and sets. {@link #defaults} returns the native names; an adapter supplies
- * those of another interface.
+ * Names of the HTTP headers that the relay reads and sets. {@link #defaults} returns the native names; an adapter
+ * supplies those of another interface.
  *
  * @param requestId id of one attempt of a caller
  * @param deadlineMillis remaining time, ms
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestParameters.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestParameters.java
@@ -37,8 +37,7 @@
     private static final Pattern PART = Pattern.compile("\\s*[^,:\\s]+:\\d{1,8}\\s*");
 
     /**
-     * Returns whether the request is a turn recorded by the store VMs: one that is stored, or that has a program's
-     * budget.
+     * Returns whether the request is a turn that the store VMs record: a stored one, or one with a program's budget.
      */
     boolean isTurn(Route route) {
         return route.isStreaming() && (route.stateful() || (budget.isPresent() && !program.isEmpty()));
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnection.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnection.java
@@ -187,7 +187,7 @@
 
     /**
      * Returns whether a response carries the request id and the stamp of the runner. A corrupted head may still parse
-     * as a success; it is treated as a failed response, which an idempotent request can retry.
+     * as a success; it is treated as a failed response, after which a retriable request can be retried.
      */
     private boolean isAuthenticated(HttpHeaders headers) {
         return headers.contains(headerNames.requestId()) && headers.contains(headerNames.stamp());
@@ -218,8 +218,7 @@
         listener = null;
         responsesReceived++;
         idleSinceNanos = clock.nanos();
-        // If the runner responds before the body is fully sent, the rest of the body would be parsed as the next
-        // request.
+        // If the runner responds before the body is fully sent, it would parse the rest of the body as a request.
         boolean allWritten = written != null && written.isSuccess();
         if (reusable && keepAlive && allWritten) {
             pool.release(this);
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerResponseListener.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerResponseListener.java
@@ -2,9 +2,7 @@
 
 import io.netty.handler.codec.http.HttpHeaders;
 
-/**
- * Receives the response of a runner to one request. Exactly one of {@link #onEnd} and {@link #onFailure} is called, last.
- */
+/** Receives the response of a runner to one request; the last call is one of {@link #onEnd} and {@link #onFailure}. */
 interface RunnerResponseListener {
     /** Receives status and headers. */
     void onHead(int status, HttpHeaders headers);
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/AbortedTurnTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/AbortedTurnTest.java
@@ -222,10 +222,7 @@
         awaitCounted("q1", 2 * TOKENS_PER_EVENT);
     }
 
-    /**
-     * If the service of a broken stream is gone from the manifest, its tokens are unknown and the full reservation
-     * counts.
-     */
+    /** If the service of a broken stream is gone from the manifest, its full reservation must count. */
     @Test
     public void eventsOfUnknownSizeCostFullReservation() throws IOException {
         serve(request -> STREAM.formatted("q1", 100, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"));
