--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RelayTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RelayTest.java
@@ -227,9 +227,9 @@
     @Test
     public void notExecutedGoesToAnotherRunner() throws IOException {
         publishManifest();
-        Function<String, String> full = respondWith("503 Full", "Parsleydrift-Not-Executed: 1\r\n", "");
-        ScriptedRunner first = runner("r1", full);
-        ScriptedRunner second = runner("r2", full);
+        Function<String, String> notExecuted = respondWith("503 Full", "Parsleydrift-Not-Executed: 1\r\n", "");
+        ScriptedRunner first = runner("r1", notExecuted);
+        ScriptedRunner second = runner("r2", notExecuted);
         String refused = call("/once/", "");
         assertTrue(refused.startsWith("HTTP/1.1 503 ") && refused.contains("Retry-After: "), refused);
         assertEquals(first.requests.size() + second.requests.size(), 2);
@@ -271,11 +271,11 @@
     public void idempotentCallWithoutResponseIsRetried() throws Exception {
         publishManifest();
         AtomicInteger calls = new AtomicInteger();
-        Function<String, String> losesTheFirst = request -> calls.getAndIncrement() == 0
+        Function<String, String> dropsFirstResponse = request -> calls.getAndIncrement() == 0
                 ? ScriptedRunner.SILENCE
                 : ScriptedRunner.response(OK, request, "", "done");
-        ScriptedRunner first = runner("r1", losesTheFirst);
-        ScriptedRunner second = runner("r2", losesTheFirst);
+        ScriptedRunner first = runner("r1", dropsFirstResponse);
+        ScriptedRunner second = runner("r2", dropsFirstResponse);
         assertTrue(call("/twice/", "").startsWith("HTTP/1.1 200 "));
         assertEquals(first.requests.size(), 1);
         assertEquals(second.requests.size(), 1);
