--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Candidate.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Candidate.java
@@ -3,17 +3,17 @@
 import org.parsleydrift.registry.Runner;
 
 /**
- * A runner as seen when a request is placed.
+ * A runner with the state that the placement of one request depends on.
  *
  * @param runner the runner
- * @param load requests that this node and, by their last report, its peers have there
- * @param suspended whether it has failed lately and is left alone for a while
- * @param sameZone whether it is in this node's availability zone
- * @param uncachedTokens tokens of the request's prompt that it would have to read; 0 where there is no prompt
+ * @param load requests of this node and, by their last reports, of its peers at the runner
+ * @param suspended whether the runner is in backoff after failures
+ * @param sameZone whether the runner is in this node's availability zone
+ * @param uncachedTokens tokens of the request's prompt that the runner has not cached; 0 without a prompt
  */
 public record Candidate(Runner runner, int load, boolean suspended, boolean sameZone, int uncachedTokens) {
-    /** Requests that it may be given in all; a few more than it works on, so that none of its places waits for us. */
-    int maxLoad(boolean prompted) {
-        return runner.slots() + (prompted ? Math.max(1, runner.slots() / RunnerChoice.QUEUED_SHARE) : 0);
+    /** Returns the maximum load, in requests; with prompts it exceeds the slots, so that a freed slot is refilled. */
+    int maxLoad(boolean hasPrompt) {
+        return runner.slots() + (hasPrompt ? Math.max(1, runner.slots() / RunnerChoice.SLOTS_PER_QUEUED_REQUEST) : 0);
     }
 }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PromptCacheIndex.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PromptCacheIndex.java
@@ -7,90 +7,90 @@
 import java.util.Set;
 
 /**
- * Which parts of prompts each runner holds, as far as this node has sent them there. Load pattern: each turn's prompt holds
- * all earlier turns of its line, so a line that moves to another runner is read there from its start; on full engines a
- * third of the time went into such reading. Lines that other nodes have sent are known from the program's grants.
- * Confined to one loop.
+ * Estimates which prompt parts each runner has cached, from the prompts that this node has sent there. A turn's prompt
+ * extends that of the turn before it, so a runner that served the earlier turn computes only the new tokens. Parts sent
+ * by other nodes are known from the program's grants.
+ *
+ * <p>Not thread-safe; confined to one event loop.
  */
 public final class PromptCacheIndex {
-    /**
-     * A part that was not sent for this long is taken as dropped, ns. A line's next turn comes within a second or two, and
-     * a runner with room for some fifty lines has read as many others in about five.
-     */
-    private static final long KEPT_NANOS = 6_000_000_000L;
-    /** Parts remembered a runner; some 150 bytes each. */
-    private static final int MOST_PARTS = 1024;
+    /** Time after its last use at which a part is assumed to be evicted by the runner, ns. */
+    private static final long RETENTION_NANOS = 6_000_000_000L;
+
+    private static final int MAX_PARTS_PER_RUNNER = 1024;
 
-    private final Map<String, Map<String, Sent>> byRunner = new HashMap<>();
+    private final Map<String, Map<String, SentPart>> byRunner = new HashMap<>();
 
-    private record Sent(int tokens, long atNanos) {}
+    private record SentPart(int tokens, long atNanos) {}
 
     /**
-     * A prompt goes to a runner, which then holds all of its parts.
+     * Records that a prompt was sent to a runner, which then caches all of its parts.
      *
-     * @param runner the life of the runner
-     * @param prompt the parts
-     * @param nowNanos the time
+     * @param runner id of the runner's incarnation
+     * @param prompt parts of the prompt in order
+     * @param nowNanos monotonic time, ns
      */
     public void recordSent(String runner, List<PromptPart> prompt, long nowNanos) {
-        Map<String, Sent> parts = byRunner.computeIfAbsent(runner, any -> new RecentParts());
-        prompt.forEach(each -> parts.put(each.id(), new Sent(each.tokens(), nowNanos)));
+        Map<String, SentPart> parts = byRunner.computeIfAbsent(runner, any -> new LruParts());
+        prompt.forEach(each -> parts.put(each.id(), new SentPart(each.tokens(), nowNanos)));
     }
 
     /**
-     * Forgets runners that are gone.
+     * Removes the entries of runners that are gone.
      *
-     * @param lives those that are still known
+     * @param incarnations ids of the incarnations to retain
      */
-    public void retainRunners(Set<String> lives) {
-        byRunner.keySet().retainAll(lives);
+    public void retainRunners(Set<String> incarnations) {
+        byRunner.keySet().retainAll(incarnations);
     }
 
     /**
-     * Tokens of a prompt that a runner would have to read. Who holds a part has read all before it.
+     * Returns the number of tokens of a prompt that a runner has not cached. A runner that has cached a part is assumed
+     * to have cached all parts before it.
      *
-     * @param runner the life of the runner
-     * @param prompt the parts
-     * @param heard parts that runners hold by the word of others
-     * @param nowNanos the time
-     * @return tokens
+     * @param runner id of the runner's incarnation
+     * @param prompt parts of the prompt in order
+     * @param reported cached parts that the store VMs have reported, of any runner
+     * @param nowNanos monotonic time, ns
+     * @return uncached tokens, from 0 to the length of the prompt
      */
-    public int uncachedTokens(String runner, List<PromptPart> prompt, List<CachedPart> heard, long nowNanos) {
-        Map<String, Sent> parts = byRunner.getOrDefault(runner, Map.of());
+    public int uncachedTokens(String runner, List<PromptPart> prompt, List<CachedPart> reported, long nowNanos) {
+        Map<String, SentPart> parts = byRunner.getOrDefault(runner, Map.of());
         int total = prompt.stream().mapToInt(PromptPart::tokens).sum();
-        int after = 0;
+        int tokensAfter = 0;
         for (PromptPart part : prompt.reversed()) {
-            int held = Math.max(own(parts.get(part.id()), nowNanos), heard(runner, part, heard));
-            if (held > 0) {
-                return after + Math.max(0, part.tokens() - held);
+            int cached = Math.max(
+                    locallyCachedTokens(parts.get(part.id()), nowNanos), reportedTokens(runner, part, reported));
+            if (cached > 0) {
+                return tokensAfter + Math.max(0, part.tokens() - cached);
             }
-            after += part.tokens();
+            tokensAfter += part.tokens();
         }
         return total;
     }
 
-    private static int own(Sent sent, long nowNanos) {
-        return sent != null && nowNanos - sent.atNanos() < KEPT_NANOS ? sent.tokens() : 0;
+    private static int locallyCachedTokens(SentPart sent, long nowNanos) {
+        return sent != null && nowNanos - sent.atNanos() < RETENTION_NANOS ? sent.tokens() : 0;
     }
 
-    private static int heard(String runner, PromptPart part, List<CachedPart> heard) {
-        return heard.stream()
+    private static int reportedTokens(String runner, PromptPart part, List<CachedPart> reported) {
+        return reported.stream()
                 .filter(each -> each.part().equals(part.id()) && each.runner().equals(runner))
                 .mapToInt(CachedPart::tokens)
                 .max()
                 .orElse(0);
     }
 
-    private static final class RecentParts extends LinkedHashMap<String, Sent> {
+    private static final class LruParts extends LinkedHashMap<String, SentPart> {
         private static final long serialVersionUID = 1L;
 
-        private RecentParts() {
+        private LruParts() {
             super(16, 0.75f, true);
         }
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Sent> eldest) {
-            return size() > MOST_PARTS;
+        protected boolean removeEldestEntry(Map.Entry<String, SentPart> eldest) {
+            return size() > MAX_PARTS_PER_RUNNER;
         }
     }
 }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/QuotaDecision.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/QuotaDecision.java
@@ -3,25 +3,25 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** Whether a request of a team may run now. */
+/** Result of checking one request against its team's quota. */
 public sealed interface QuotaDecision {
-    /** For requests of teams that have no limit. */
+    /** Decision for requests of teams without a quota. */
     QuotaDecision UNLIMITED = new Allowed(Optional.empty());
 
     /**
-     * It may run.
+     * The request is admitted.
      *
-     * @param charge what it takes of the allotment; empty where there is no limit
+     * @param charge the charge against the quota; empty if the team has none
      */
     record Allowed(Optional<QuotaCharge> charge) implements QuotaDecision {}
 
     /**
-     * The team has used its allotment up.
+     * The quota is exhausted.
      *
-     * @param retryAfter when there may be room again
+     * @param retryAfter suggested delay before the next attempt
      */
     record Exceeded(Duration retryAfter) implements QuotaDecision {}
 
-    /** This node can't know what the team has used at others. */
+    /** This node has no usage reports from its peers, so it cannot decide. */
     record Undetermined() implements QuotaDecision {}
 }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/TeamUsage.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/TeamUsage.java
@@ -1,21 +1,21 @@
 package org.parsleydrift.placement;
 
 /**
- * What was let pass of a team, at one node or at several.
+ * Quota usage and demand of a team at one node or at several.
  *
- * @param sent requests that went to runners
- * @param planned requests that the programs need that were let begin, by what such programs usually need
- * @param newDemand requests that the programs need that asked to begin within the last while, whether they might or not
- * @param inProgressDemand requests of programs under way that asked to run within the last while, whether they might or not
+ * @param sent requests sent to runners
+ * @param planned expected requests of the programs that were admitted
+ * @param newDemand recent demand of new programs, as their expected requests, admitted or not
+ * @param inProgressDemand recent demand of programs in progress, in requests, admitted or not
  */
 public record TeamUsage(WindowCounts sent, WindowCounts planned, int newDemand, int inProgressDemand) {
-    /** Nothing. */
+    /** No usage and no demand. */
     public static final TeamUsage NONE = new TeamUsage(WindowCounts.NONE, WindowCounts.NONE, 0, 0);
 
     /**
-     * Both together.
+     * Adds two usages.
      *
-     * @param other other nodes' use
+     * @param other the usage at other nodes
      * @return the sum
      */
     public TeamUsage plus(TeamUsage other) {
@@ -27,10 +27,10 @@
     }
 
     /**
-     * What is left without a part.
+     * Subtracts a part of this usage.
      *
-     * @param part the part
-     * @return the difference, nowhere less than nothing
+     * @param part the usage to subtract
+     * @return the difference; negative values become 0
      */
     public TeamUsage minus(TeamUsage part) {
         return new TeamUsage(
@@ -40,21 +40,21 @@
                 Math.max(0, inProgressDemand - part.inProgressDemand));
     }
 
-    /** The larger of each. */
-    TeamUsage most(TeamUsage other) {
+    /** Returns the component-wise maximum. */
+    TeamUsage max(TeamUsage other) {
         return new TeamUsage(
-                sent.most(other.sent),
-                planned.most(other.planned),
+                sent.max(other.sent),
+                planned.max(other.planned),
                 Math.max(newDemand, other.newDemand),
                 Math.max(inProgressDemand, other.inProgressDemand));
     }
 
-    TeamUsage times(double share) {
+    TeamUsage scale(double share) {
         return new TeamUsage(
-                sent.times(share),
-                planned.times(share),
-                WindowCounts.scaled(newDemand, share),
-                WindowCounts.scaled(inProgressDemand, share));
+                sent.scale(share),
+                planned.scale(share),
+                WindowCounts.scaleUp(newDemand, share),
+                WindowCounts.scaleUp(inProgressDemand, share));
     }
 
     boolean isNone() {
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/UsageReport.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/UsageReport.java
@@ -5,15 +5,15 @@
 import java.util.function.BinaryOperator;
 
 /**
- * What nodes tell each other of the use of allotments: of one node, or the sum of several.
+ * Quota usage that nodes exchange: that of one node, or the sum of several.
  *
- * @param nodes the nodes whose use it holds
- * @param unobservedMillis the part of the window that lies before a node's start, summed over the nodes, ms: of that nobody
- *     knows any more what its former life let pass
- * @param teams use by the name of the team; teams without any are left out
+ * @param nodes number of nodes included
+ * @param unobservedMillis part of the window before a node's start, summed over the nodes, ms; requests that a node
+ *     admitted before its restart are unknown
+ * @param teams usage by team name; teams without usage are omitted
  */
 public record UsageReport(int nodes, int unobservedMillis, Map<String, TeamUsage> teams) {
-    /** Of no node. */
+    /** The report of no node. */
     public static final UsageReport NONE = new UsageReport(0, 0, Map.of());
 
     /** Copies the map. */
@@ -22,21 +22,21 @@
     }
 
     /**
-     * Both together.
+     * Adds two reports.
      *
-     * @param other other nodes' report
+     * @param other the report of other nodes
      * @return the sum
      */
     public UsageReport plus(UsageReport other) {
         return new UsageReport(
-                nodes + other.nodes, unobservedMillis + other.unobservedMillis, joined(other, TeamUsage::plus));
+                nodes + other.nodes, unobservedMillis + other.unobservedMillis, mergeTeams(other, TeamUsage::plus));
     }
 
     /**
-     * The report without a part of its nodes.
+     * Subtracts the report of some of the nodes included.
      *
-     * @param part what one of the nodes told
-     * @return the rest
+     * @param part the report to subtract
+     * @return the difference; negative values become 0
      */
     public UsageReport minus(UsageReport part) {
         Map<String, TeamUsage> rest = new HashMap<>(teams);
@@ -46,28 +46,27 @@
                 Math.max(0, nodes - part.nodes), Math.max(0, unobservedMillis - part.unobservedMillis), rest);
     }
 
-    /** The larger of each team's use in this report and in another one. */
-    UsageReport most(UsageReport other) {
-        return new UsageReport(nodes, unobservedMillis, joined(other, TeamUsage::most));
+    /** Returns this report with the component-wise maximum of the usage in both reports. */
+    UsageReport max(UsageReport other) {
+        return new UsageReport(nodes, unobservedMillis, mergeTeams(other, TeamUsage::max));
     }
 
-    /** A share of each team's use. */
-    UsageReport times(double share) {
+    UsageReport scale(double share) {
         Map<String, TeamUsage> scaled = new HashMap<>();
-        teams.forEach((team, use) -> scaled.put(team, use.times(share)));
+        teams.forEach((team, use) -> scaled.put(team, use.scale(share)));
         return new UsageReport(nodes, unobservedMillis, scaled);
     }
 
-    TeamUsage of(String team) {
+    TeamUsage teamUsage(String team) {
         return teams.getOrDefault(team, TeamUsage.NONE);
     }
 
-    private Map<String, TeamUsage> joined(UsageReport other, BinaryOperator<TeamUsage> join) {
+    private Map<String, TeamUsage> mergeTeams(UsageReport other, BinaryOperator<TeamUsage> combine) {
         if (other.teams.isEmpty()) {
             return teams;
         }
-        Map<String, TeamUsage> both = new HashMap<>(teams);
-        other.teams.forEach((team, use) -> both.merge(team, use, join));
-        return both;
+        Map<String, TeamUsage> merged = new HashMap<>(teams);
+        other.teams.forEach((team, use) -> merged.merge(team, use, combine));
+        return merged;
     }
 }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/WindowCounts.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/WindowCounts.java
@@ -1,16 +1,16 @@
 package org.parsleydrift.placement;
 
 /**
- * A count over the allotment's window and over parts of it.
+ * Request counts over the sliding window of the quotas and over parts of it.
  *
- * @param total in the window
- * @param recent in the later half of it
- * @param expiring in the oldest fifth of it, which leaves next
+ * @param total requests in the whole window
+ * @param recent requests in its recent half
+ * @param expiring requests in its oldest fifth, which expire next
  */
 public record WindowCounts(int total, int recent, int expiring) {
-    /** The part of the window that leaves next. */
-    static final double LEAVING_PART = 0.2;
-    /** Nothing. */
+    /** Share of the window that counts as expiring. */
+    static final double EXPIRING_FRACTION = 0.2;
+    /** All counts 0. */
     public static final WindowCounts NONE = new WindowCounts(0, 0, 0);
 
     WindowCounts plus(WindowCounts other) {
@@ -24,17 +24,17 @@
                 Math.max(0, expiring - part.expiring));
     }
 
-    WindowCounts most(WindowCounts other) {
+    WindowCounts max(WindowCounts other) {
         return new WindowCounts(
                 Math.max(total, other.total), Math.max(recent, other.recent), Math.max(expiring, other.expiring));
     }
 
-    WindowCounts times(double share) {
-        return new WindowCounts(scaled(total, share), scaled(recent, share), scaled(expiring, share));
+    WindowCounts scale(double share) {
+        return new WindowCounts(scaleUp(total, share), scaleUp(recent, share), scaleUp(expiring, share));
     }
 
-    /** Rounded up: most nodes have let one request of a small team pass or none. */
-    static int scaled(int count, double share) {
+    /** Scales a count, rounding up, since the counts of a small team at one node are 0 or 1. */
+    static int scaleUp(int count, double share) {
         return (int) Math.ceil(count * share);
     }
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/EventStreamReader.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/EventStreamReader.java
@@ -4,55 +4,55 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Splits a stream into whole events, checks that their ids grow one by one, and gathers what counts: the number of
- * events and their data. A runner may stop in the middle of an event; a part of one is never passed on.
+ * Incremental parser of a server-sent event stream. It emits complete events only, checks that numeric event ids are
+ * consecutive, counts the events and optionally collects their data.
  */
 final class EventStreamReader {
     private static final String ID = "id:";
     private static final String DATA = "data:";
 
-    private final ByteArrayOutputStream begun = new ByteArrayOutputStream();
-    private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream complete = new ByteArrayOutputStream();
     private final ByteArrayOutputStream data = new ByteArrayOutputStream();
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
-    private final boolean keepsData;
+    private final boolean collectData;
     private long lastId = Long.MIN_VALUE;
-    private int events;
+    private int eventCount;
     private boolean eventHasLines;
     private boolean outOfOrder;
 
-    EventStreamReader(boolean keepsData) {
-        this.keepsData = keepsData;
+    EventStreamReader(boolean collectData) {
+        this.collectData = collectData;
     }
 
-    /** Takes bytes; gives those that complete events. */
-    byte[] take(byte[] bytes) {
-        whole.reset();
+    /** Parses the next bytes of the stream and returns the events that they complete; empty if none. */
+    byte[] parse(byte[] bytes) {
+        complete.reset();
         for (byte each : bytes) {
-            begun.write(each);
+            pending.write(each);
             if (each == '\n') {
                 endLine();
             } else if (each != '\r') {
                 line.write(each);
             }
         }
-        return whole.toByteArray();
+        return complete.toByteArray();
     }
 
-    int events() {
-        return events;
+    int eventCount() {
+        return eventCount;
     }
 
-    /** Whether all bytes belong to whole events in order. */
-    boolean sound() {
-        return begun.size() == 0 && !outOfOrder;
+    /** Returns whether the stream so far consists of complete events with consecutive ids. */
+    boolean isWellFormed() {
+        return pending.size() == 0 && !outOfOrder;
     }
 
-    boolean outOfOrder() {
+    boolean isOutOfOrder() {
         return outOfOrder;
     }
 
-    /** The data of all events, each followed by a line feed. */
+    /** Returns the data lines of all events, each terminated by a line feed; empty unless data is collected. */
     byte[] data() {
         return data.toByteArray();
     }
@@ -62,23 +62,23 @@
         line.reset();
         if (!text.isEmpty()) {
             eventHasLines = true;
-            takeField(text);
+            parseField(text);
             return;
         }
         if (eventHasLines) {
-            events++;
+            eventCount++;
             eventHasLines = false;
         }
         if (!outOfOrder) {
-            whole.writeBytes(begun.toByteArray());
+            complete.writeBytes(pending.toByteArray());
         }
-        begun.reset();
+        pending.reset();
     }
 
-    private void takeField(String text) {
+    private void parseField(String text) {
         if (text.startsWith(ID)) {
             checkId(text.substring(ID.length()).trim());
-        } else if (text.startsWith(DATA) && keepsData) {
+        } else if (text.startsWith(DATA) && collectData) {
             int from = text.startsWith(" ", DATA.length()) ? DATA.length() + 1 : DATA.length();
             data.writeBytes(text.substring(from).getBytes(StandardCharsets.UTF_8));
             data.write('\n');
@@ -90,8 +90,8 @@
             long id = Long.parseLong(text);
             outOfOrder |= lastId != Long.MIN_VALUE && id != lastId + 1;
             lastId = id;
-        } catch (NumberFormatException unusual) {
-            // Ids that are no numbers have no order to check; the bytes are passed on as they are.
+        } catch (NumberFormatException e) {
+            // Non-numeric ids have no order to check.
             lastId = Long.MIN_VALUE;
         }
     }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/QueueWait.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/QueueWait.java
@@ -5,39 +5,40 @@
 import org.parsleydrift.kernel.EventLoop;
 
 /**
- * The wait of one request for a runner. For most of it the request is kept for the runner that holds its prompt; a runner
- * that is stuck must not keep it until it is refused, so near the end any runner with room will do.
+ * Timers of one request's wait for a runner. A request may wait for the runner that has cached its prompt, but near the
+ * end of the wait any free runner is acceptable, so that one stuck runner does not lead to a rejection.
  */
 final class QueueWait {
     private final EventLoop loop;
-    private final Runnable lookAgain;
-    private Cancellable heldTimer = () -> {};
-    private Cancellable endTimer = () -> {};
-    private boolean nearlyOver;
+    private final Runnable retryPlacement;
+    private Cancellable affinityTimer = () -> {};
+    private Cancellable timeoutTimer = () -> {};
+    private boolean nearTimeout;
 
-    /** Makes a wait that has not begun; near its end it runs a task that places what can be placed. */
-    QueueWait(EventLoop loop, Runnable lookAgain) {
+    /** Creates the timers without starting them; the given task retries the placement near the end of the wait. */
+    QueueWait(EventLoop loop, Runnable retryPlacement) {
         this.loop = loop;
-        this.lookAgain = lookAgain;
+        this.retryPlacement = retryPlacement;
     }
 
-    /** Begins, or begins anew; a task runs if nothing ends the wait before its patience is over. */
-    void begin(Duration patience, Runnable tooLong) {
-        end();
-        nearlyOver = false;
-        heldTimer = loop.schedule(Duration.ofMillis((long) (patience.toMillis() * RelayLimits.HELD_SHARE)), () -> {
-            nearlyOver = true;
-            lookAgain.run();
-        });
-        endTimer = loop.schedule(patience, tooLong);
+    /** Starts or restarts the wait; the given task runs on timeout unless the wait ends before. */
+    void start(Duration timeout, Runnable onTimeout) {
+        cancel();
+        nearTimeout = false;
+        affinityTimer =
+                loop.schedule(Duration.ofMillis((long) (timeout.toMillis() * RelayLimits.AFFINITY_SHARE)), () -> {
+                    nearTimeout = true;
+                    retryPlacement.run();
+                });
+        timeoutTimer = loop.schedule(timeout, onTimeout);
     }
 
-    void end() {
-        heldTimer.cancel();
-        endTimer.cancel();
+    void cancel() {
+        affinityTimer.cancel();
+        timeoutTimer.cancel();
     }
 
-    boolean nearlyOver() {
-        return nearlyOver;
+    boolean isNearTimeout() {
+        return nearTimeout;
     }
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Relay.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Relay.java
@@ -11,32 +11,34 @@
 import org.parsleydrift.registry.Registry;
 import org.parsleydrift.wire.NetworkThreads;
 
-/** Serves caller-driven requests: one {@link RelayedRequest} each. Confined to one loop. */
+/**
+ * Relays requests of callers to runners, each by a {@link RelayedRequest}. Not thread-safe; confined to one event loop.
+ */
 public final class Relay implements RequestHandler {
     private final EventLoop loop;
     private final Registry registry;
     private final Dispatcher dispatcher;
     private final Conversations conversations;
-    private final QuotaTracker allotments;
-    private final RunnerConnections connections;
-    private final HeaderNames dialect;
+    private final QuotaTracker quotas;
+    private final RunnerConnectionPool connections;
+    private final HeaderNames headerNames;
     private final RandomGenerator random;
-    private final RelayMeters meters;
+    private final RelayMetrics metrics;
     private final List<RelayedRequest> awaitingManifest = new ArrayList<>();
-    private int open;
+    private int openRequests;
 
     /**
-     * Makes a relay.
+     * Creates a relay and subscribes it to changes of the registry.
      *
-     * @param threads the network threads; one
-     * @param loop the loop on that thread
-     * @param registry knows manifest and runners
-     * @param dispatcher places requests
-     * @param conversations begins and ends turns
-     * @param allotments what teams may still run
-     * @param dialect header names
-     * @param random draws among destinations
-     * @param meters where to count
+     * @param threads the network threads, of which there must be one
+     * @param loop the event loop of that thread
+     * @param registry source of the manifest and the runners
+     * @param dispatcher assigns requests to runners
+     * @param conversations client of the store VMs, which hold turns and token budgets
+     * @param quotas enforces the quotas of teams
+     * @param headerNames names of the headers
+     * @param random source of randomness for weighted destinations and jitter
+     * @param meters registry for the relay's metrics
      */
     public Relay(
             NetworkThreads threads,
@@ -44,38 +46,38 @@
             Registry registry,
             Dispatcher dispatcher,
             Conversations conversations,
-            QuotaTracker allotments,
-            HeaderNames dialect,
+            QuotaTracker quotas,
+            HeaderNames headerNames,
             RandomGenerator random,
             MeterRegistry meters) {
         this.loop = loop;
         this.registry = registry;
         this.dispatcher = dispatcher;
         this.conversations = conversations;
-        this.allotments = allotments;
-        this.connections = new RunnerConnections(threads, loop, dialect);
-        this.dialect = dialect;
+        this.quotas = quotas;
+        this.connections = new RunnerConnectionPool(threads, loop, headerNames);
+        this.headerNames = headerNames;
         this.random = random;
-        this.meters = new RelayMeters(meters);
+        this.metrics = new RelayMetrics(meters);
         registry.onChange(this::registryChanged);
     }
 
     @Override
-    public Runnable handle(CallerRequest request, CallerAnswer answer) {
-        Optional<RequestFacts> facts = RequestFacts.read(request.headers(), dialect);
-        RelayedRequest relayed = new RelayedRequest(this, request, facts, answer);
-        open++;
+    public Runnable handle(CallerRequest request, CallerResponse response) {
+        Optional<RequestParameters> parameters = RequestParameters.parse(request.headers(), headerNames);
+        RelayedRequest relayed = new RelayedRequest(this, request, parameters, response);
+        openRequests++;
         relayed.start();
-        return relayed::callerGone;
+        return relayed::handleDisconnect;
     }
 
     /**
-     * Requests that have not ended.
+     * Returns the number of requests that have not ended.
      *
-     * @return their number
+     * @return number of requests
      */
     public int openRequests() {
-        return open;
+        return openRequests;
     }
 
     void awaitManifest(RelayedRequest request) {
@@ -86,14 +88,14 @@
         if (registry.manifest().isPresent() && !awaitingManifest.isEmpty()) {
             List<RelayedRequest> waiting = List.copyOf(awaitingManifest);
             awaitingManifest.clear();
-            waiting.stream().filter(RelayedRequest::starting).forEach(RelayedRequest::start);
+            waiting.stream().filter(RelayedRequest::isAwaitingManifest).forEach(RelayedRequest::start);
         }
         dispatcher.manifestChanged();
         dispatcher.runnersChanged();
     }
 
-    void ended() {
-        open--;
+    void requestEnded() {
+        openRequests--;
     }
 
     EventLoop loop() {
@@ -112,23 +114,23 @@
         return conversations;
     }
 
-    QuotaTracker allotments() {
-        return allotments;
+    QuotaTracker quotas() {
+        return quotas;
     }
 
-    RunnerConnections connections() {
+    RunnerConnectionPool connections() {
         return connections;
     }
 
-    HeaderNames dialect() {
-        return dialect;
+    HeaderNames headerNames() {
+        return headerNames;
     }
 
     RandomGenerator random() {
         return random;
     }
 
-    RelayMeters meters() {
-        return meters;
+    RelayMetrics metrics() {
+        return metrics;
     }
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestStage.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestStage.java
@@ -1,19 +1,19 @@
 package org.parsleydrift.relay;
 
-/** Where a request is. */
+/** States of a {@link RelayedRequest}. */
 enum RequestStage {
-    /** Waits for the first manifest. */
-    STARTING,
-    /** Its route is being looked for. */
-    MATCHED,
-    /** A turn that is being begun at the store VMs. */
+    /** Waiting for the first manifest of the node. */
+    AWAITING_MANIFEST,
+    /** Being matched to a route and checked against its team's quota. */
+    MATCHING,
+    /** Beginning a turn at the store VMs, which reserve its tokens and return its history. */
     BEGINNING,
-    /** Waits for a runner. */
-    WAITING,
-    /** A runner has it. */
-    OFFERED,
-    /** Its answer is whole and the turn is being made durable. */
+    /** Queued for a runner. */
+    QUEUED,
+    /** Assigned to a runner. */
+    ASSIGNED,
+    /** The response is complete and the turn is being committed. */
     COMMITTING,
-    /** The caller has its final answer, or has left. */
+    /** The final response was sent, or the caller has disconnected. */
     ENDED
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/StrictRequestDecoder.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/StrictRequestDecoder.java
@@ -5,8 +5,8 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Reads requests and refuses those whose framing can be read in two ways: a length beside chunks. A node and a runner
- * that read them differently would take a smuggled request for one of a caller.
+ * HTTP request decoder that rejects ambiguous framing, such as {@code Content-Length} together with chunked encoding,
+ * which permits request smuggling.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
     StrictRequestDecoder(int maxHeaderBytes) {
@@ -18,6 +18,6 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw new IllegalArgumentException("both a length and chunks");
+        throw new IllegalArgumentException("request has both Content-Length and chunked Transfer-Encoding");
     }
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TurnRecord.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TurnRecord.java
@@ -14,51 +14,54 @@
 import org.parsleydrift.placement.PromptPart;
 import org.parsleydrift.registry.Route;
 
-/** What the store VMs know of one request: its reservation of tokens and, once it has ended, its turn. */
+/** The records of one request at the store VMs: its token reservation and, once it has ended, its turn. */
 final class TurnRecord {
     private static final Logger LOG = System.getLogger(TurnRecord.class.getName());
 
     private final Relay relay;
-    private final RequestFacts facts;
+    private final RequestParameters parameters;
     private final Route route;
     private final String owner;
     private boolean reserved;
 
-    /** Makes a record; under an owner's name, since turns and programs of other owners may have the same ids. */
-    TurnRecord(Relay relay, RequestFacts facts, Route route, String owner) {
+    /**
+     * Creates a record whose turn and program ids are prefixed with the owner, as other owners may use the same ids.
+     */
+    TurnRecord(Relay relay, RequestParameters parameters, Route route, String owner) {
         this.relay = relay;
-        this.facts = facts;
+        this.parameters = parameters;
         this.route = route;
         this.owner = owner;
     }
 
     private String program() {
-        return facts.program().isEmpty() ? "" : owner + facts.program();
+        return parameters.program().isEmpty() ? "" : owner + parameters.program();
     }
 
     private String previousTurn() {
-        return facts.previousTurn().isEmpty() ? "" : owner + facts.previousTurn();
+        return parameters.previousTurn().isEmpty() ? "" : owner + parameters.previousTurn();
     }
 
-    /** Reserves tokens and reads the chain; completes on the relay's loop and never fails. */
-    CompletableFuture<BeginResult> begin(Duration patience) {
-        OptionalInt budget = facts.program().isEmpty() ? OptionalInt.empty() : facts.budget();
+    /** Reserves tokens and reads the conversation history. The future completes on the relay's loop and never fails. */
+    CompletableFuture<BeginResult> begin(Duration timeout) {
+        OptionalInt budget = parameters.program().isEmpty() ? OptionalInt.empty() : parameters.budget();
         String previous = route.stateful() ? previousTurn() : "";
         BeginRequest begin = new BeginRequest(
-                program(), facts.id(), budget, facts.mostTokens(), previous, route.retention(), patience);
+                program(), parameters.id(), budget, parameters.maxTokens(), previous, route.retention(), timeout);
         return relay.conversations()
                 .begin(begin)
                 .thenApplyAsync(
                         result -> {
                             reserved = result instanceof BeginResult.Granted && budget.isPresent();
-                            logDenied(result);
+                            logDenial(result);
                             return result;
                         },
                         relay.loop());
     }
 
-    private void logDenied(BeginResult result) {
-        LogLine line = LogLine.of("turn_denied").with("request", facts.id()).with("program", facts.program());
+    private void logDenial(BeginResult result) {
+        LogLine line =
+                LogLine.of("turn_denied").with("request", parameters.id()).with("program", parameters.program());
         switch (result) {
             case BeginResult.BudgetSpent spent ->
                 LOG.log(
@@ -66,47 +69,47 @@
                         line.with("reason", "budget_spent")
                                 .with("counted", spent.countedTokens())
                                 .with("generated", spent.generatedTokens())
-                                .with("most", facts.mostTokens())
-                                .with("budget", facts.budget().orElse(0))
+                                .with("most", parameters.maxTokens())
+                                .with("budget", parameters.budget().orElse(0))
                                 .toString());
             case BeginResult.NoSuchTurn ignored ->
                 LOG.log(
                         Logger.Level.INFO,
                         line.with("reason", "no_such_turn")
-                                .with("previous", facts.previousTurn())
+                                .with("previous", parameters.previousTurn())
                                 .toString());
             case BeginResult.Granted ignored -> {}
             case BeginResult.Unavailable ignored -> {}
         }
     }
 
-    /** Gives the reservation back; only where no runner has begun the request or will. */
+    /** Releases the token reservation; only if no runner has started the request or will. */
     void release() {
         if (reserved) {
             reserved = false;
-            relay.conversations().release(program(), facts.id(), route.retention());
+            relay.conversations().release(program(), parameters.id(), route.retention());
         }
     }
 
     /**
-     * Notes what was passed on of a turn that broke off. Its reservation would else count at its most for as long as it is
-     * kept, and a program that has got few tokens or none would be told over and over that its budget is spent.
+     * Settles the reservation of an aborted turn with the tokens of the forwarded events. An unsettled reservation
+     * counts in full against the program's budget until it expires.
      */
-    void brokeOff(int events, String service) {
+    void settleAborted(int events, String service) {
         if (reserved) {
             reserved = false;
-            int tokens = tokensOf(events, service);
+            int tokens = countTokens(events, service);
             relay.conversations()
                     .writeInBackground(
-                            new Grant(program(), facts.id(), GrantState.SETTLED, tokens, ""), route.retention());
+                            new Grant(program(), parameters.id(), GrantState.SETTLED, tokens, ""), route.retention());
         }
     }
 
     /**
-     * Tokens of events that were passed on. Where the manifest names their service no more, nobody can tell how many an event
-     * has; they then count as the most that the turn may generate, or the program could get more than its budget holds.
+     * Returns the number of tokens in forwarded events. If the service is gone from the manifest, the tokens per event
+     * are unknown; the maximum of the turn is assumed, so that the program cannot exceed its budget.
      */
-    private int tokensOf(int events, String service) {
+    private int countTokens(int events, String service) {
         if (events == 0) {
             return 0;
         }
@@ -114,50 +117,50 @@
                 .manifest()
                 .flatMap(each -> each.service(service))
                 .map(each -> events * each.tokensPerEvent())
-                .orElse(facts.mostTokens());
+                .orElse(parameters.maxTokens());
     }
 
-    /** Notes the end of a stream that came whole; fails if the turn is to be kept and can't be made sure of in time. */
-    CompletableFuture<Void> end(
+    /** Commits a complete stream. The future fails if the turn must be stored and is not durable in time. */
+    CompletableFuture<Void> complete(
             String runner, String service, byte[] input, EventStreamReader events, long leftMillis) {
-        int tokens = tokensOf(events.events(), service);
+        int tokens = countTokens(events.eventCount(), service);
         if (!route.stateful()) {
             return settle(runner, tokens);
         }
-        Duration patience = Duration.ofMillis(Math.min(leftMillis, RelayLimits.COMMIT_MOST.toMillis()));
-        return keep(runner, tokens, input, events.data(), patience);
+        Duration timeout = Duration.ofMillis(Math.min(leftMillis, RelayLimits.MAX_COMMIT_TIME.toMillis()));
+        return store(runner, tokens, input, events.data(), timeout);
     }
 
-    /** Notes what was generated; waits for a while only, since nothing of the answer depends on it. */
+    /** Settles the reservation. The future never fails; after a timeout the write continues in the background. */
     CompletableFuture<Void> settle(String runner, int tokens) {
         if (!reserved) {
             return CompletableFuture.completedFuture(null);
         }
-        Grant grant = settled(runner, tokens);
-        CompletableFuture<Void> waited = new CompletableFuture<>();
+        Grant grant = settledGrant(runner, tokens);
+        CompletableFuture<Void> completed = new CompletableFuture<>();
         relay.conversations()
-                .commit(Optional.of(grant), Optional.empty(), route.retention(), RelayLimits.SETTLE_WAIT)
+                .commit(Optional.of(grant), Optional.empty(), route.retention(), RelayLimits.MAX_SETTLE_TIME)
                 .whenComplete((done, failure) -> relay.loop().execute(() -> {
                     if (failure != null) {
                         relay.conversations().writeInBackground(grant, route.retention());
                     }
-                    waited.complete(null);
+                    completed.complete(null);
                 }));
-        return waited;
+        return completed;
     }
 
-    private CompletableFuture<Void> keep(String runner, int tokens, byte[] input, byte[] output, Duration patience) {
-        Optional<Grant> grant = reserved ? Optional.of(settled(runner, tokens)) : Optional.empty();
-        Turn turn = new Turn(owner + facts.id(), previousTurn(), input, output);
-        return relay.conversations().commit(grant, Optional.of(turn), route.retention(), patience);
+    private CompletableFuture<Void> store(String runner, int tokens, byte[] input, byte[] output, Duration timeout) {
+        Optional<Grant> grant = reserved ? Optional.of(settledGrant(runner, tokens)) : Optional.empty();
+        Turn turn = new Turn(owner + parameters.id(), previousTurn(), input, output);
+        return relay.conversations().commit(grant, Optional.of(turn), route.retention(), timeout);
     }
 
-    private Grant settled(String runner, int tokens) {
-        if (facts.prompt().isEmpty()) {
-            return new Grant(program(), facts.id(), GrantState.SETTLED, tokens, runner);
+    private Grant settledGrant(String runner, int tokens) {
+        if (parameters.prompt().isEmpty()) {
+            return new Grant(program(), parameters.id(), GrantState.SETTLED, tokens, runner);
         }
-        PromptPart line = facts.prompt().getLast();
-        int held = line.tokens() + tokens;
-        return new Grant(program(), facts.id(), GrantState.SETTLED, tokens, runner, line.id(), held);
+        PromptPart lastPart = parameters.prompt().getLast();
+        int cachedTokens = lastPart.tokens() + tokens;
+        return new Grant(program(), parameters.id(), GrantState.SETTLED, tokens, runner, lastPart.id(), cachedTokens);
     }
 }
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/BrokenTurnTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/AbortedTurnTest.java
@@ -48,9 +48,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a turn that breaks off costs its program's budget. */
-public class BrokenTurnTest {
-    private static final int PATIENCE_MILLIS = 20_000;
+/** Tokens that an aborted turn charges to its program's budget. */
+public class AbortedTurnTest {
+    private static final int TIMEOUT_MILLIS = 20_000;
     private static final int TOKENS_PER_EVENT = 50;
     private static final String BUDGET =
             "Parsleydrift-Program: p\r\nParsleydrift-Token-Budget: 500\r\nParsleydrift-Tokens: 10,288\r\n";
@@ -74,7 +74,7 @@
         registry = new Registry(loop, new ObjectDecoder() {
             @Override
             public RoutingManifest decodeManifest(byte[] content) {
-                return BrokenTurnTest.manifest(content.length == 0);
+                return AbortedTurnTest.manifest(content.length == 0);
             }
 
             @Override
@@ -82,8 +82,8 @@
                 return runner.entry();
             }
         });
-        entry = new ReplicaCalls(loop, to(() -> store), "e", request -> new CompletableFuture<>());
-        store = new ReplicaCalls(loop, to(() -> entry), "s", this::answer);
+        entry = new ReplicaCalls(loop, senderTo(() -> store), "e", request -> new CompletableFuture<>());
+        store = new ReplicaCalls(loop, senderTo(() -> entry), "s", this::handleReplicaRequest);
         ConversationClient client = new ConversationClient(loop, entry);
         client.adopt(new StoreSet(1, List.of(new StoreMember("s", "disk", "s")), List.of()));
         Relay relay = new Relay(
@@ -112,7 +112,7 @@
         threads.close();
     }
 
-    private FrameSender to(Supplier<ReplicaCalls> receiver) {
+    private FrameSender senderTo(Supplier<ReplicaCalls> receiver) {
         return new FrameSender() {
             @Override
             public void send(String address, byte[] frame) {
@@ -124,7 +124,7 @@
         };
     }
 
-    private CompletableFuture<ReplicaReply> answer(ReplicaRequest request) {
+    private CompletableFuture<ReplicaReply> handleReplicaRequest(ReplicaRequest request) {
         return CompletableFuture.completedFuture(
                 switch (request) {
                     case ReplicaRequest.Write write -> {
@@ -137,7 +137,7 @@
                 });
     }
 
-    /** The manifest, with the service that the route leads to or without. */
+    /** Returns a manifest with or without the service of the route. */
     private static RoutingManifest manifest(boolean withService) {
         return new RoutingManifest(
                 withService ? 1 : 2,
@@ -167,37 +167,34 @@
         });
     }
 
-    private Socket send(String id, String more) throws IOException {
+    private Socket send(String id, String headers) throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.port());
-        socket.setSoTimeout(PATIENCE_MILLIS);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         String text = "POST /turns/ HTTP/1.1\r\nHost: h\r\nParsleydrift-Request: " + id + "\r\nConnection: close\r\n"
-                + BUDGET + more + "Content-Length: 2\r\n\r\nhi";
+                + BUDGET + headers + "Content-Length: 2\r\n\r\nhi";
         socket.getOutputStream().write(text.getBytes(UTF_8));
         return socket;
     }
 
-    private int countedOf(String id) {
+    private int countedTokens(String id) {
         CompletableFuture<Integer> counted = new CompletableFuture<>();
         loop.execute(() -> counted.complete(grants.get(id).countedTokens()));
         return counted.join();
     }
 
     private void awaitCounted(String id, int tokens) {
-        long end = loop.clock().nanos() + Duration.ofMillis(PATIENCE_MILLIS).toNanos();
-        while (countedOf(id) != tokens && loop.clock().nanos() - end < 0) {
+        long end = loop.clock().nanos() + Duration.ofMillis(TIMEOUT_MILLIS).toNanos();
+        while (countedTokens(id) != tokens && loop.clock().nanos() - end < 0) {
             Thread.onSpinWait();
         }
-        assertEquals(countedOf(id), tokens);
+        assertEquals(countedTokens(id), tokens);
     }
 
     /**
-     * A program was told 35 times over 11 s that its budget is spent, though it had got no token. Its first try was placed
-     * and its caller left before the first event ({@code caller_left cause=after_offer}); from then on each try was refused
-     * with {@code budget_spent counted=288 generated=0 most=288 budget=500}. The reservation of the try that broke off
-     * stayed at its most for good, though the node that served it knew that it had passed nothing on.
+     * The reservation of a turn whose caller disconnects before the first event must not remain charged to the budget.
      */
     @Test
-    public void aTurnWhoseCallerLeftBeforeTheFirstEventCostsNothing() throws IOException {
+    public void turnWithoutForwardedEventsCostsNothing() throws IOException {
         serve(request -> ScriptedRunner.header(request, "Parsleydrift-Request").equals("q1")
                 ? ScriptedRunner.SILENCE
                 : STREAM.formatted("q2", 17, "id: 1\ndata: aa\n\n"));
@@ -205,49 +202,46 @@
         while (runner.requests.isEmpty()) {
             Thread.onSpinWait();
         }
-        assertEquals(countedOf("q1"), 288);
+        assertEquals(countedTokens("q1"), 288);
         first.close();
         awaitCounted("q1", 0);
         try (Socket second = send("q2", "")) {
-            String answer = new String(second.getInputStream().readAllBytes(), ISO_8859_1);
-            assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
+            String response = new String(second.getInputStream().readAllBytes(), ISO_8859_1);
+            assertTrue(response.startsWith("HTTP/1.1 200 "), response);
         }
     }
 
-    /** What was passed on before a stream broke counts, and no more. */
+    /** Only the events forwarded before a stream breaks are charged. */
     @Test
-    public void aTurnThatBreaksMidwayCostsWhatWasPassedOn() throws IOException {
+    public void brokenTurnCostsForwardedEvents() throws IOException {
         serve(request -> STREAM.formatted("q1", 100, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"));
         try (Socket socket = send("q1", "Parsleydrift-Deadline-Ms: 700\r\n")) {
-            awaitPassedOn(socket);
-            assertEquals(countedOf("q1"), 288);
+            awaitForwardedEvents(socket);
+            assertEquals(countedTokens("q1"), 288);
         }
         awaitCounted("q1", 2 * TOKENS_PER_EVENT);
     }
 
-    /**
-     * A program may get more tokens than its budget holds. Its stream breaks after two events while a newer manifest does not
-     * name the service any more, so that nobody can tell how many tokens an event has; the turn was counted with none.
-     */
+    /** If the service of a broken stream is gone from the manifest, its full reservation must count. */
     @Test
-    public void eventsOfUnknownSizeLeaveTheReservationAtItsMost() throws IOException {
+    public void eventsOfUnknownSizeCostFullReservation() throws IOException {
         serve(request -> STREAM.formatted("q1", 100, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"));
         try (Socket socket = send("q1", "Parsleydrift-Deadline-Ms: 700\r\n")) {
-            awaitPassedOn(socket);
+            awaitForwardedEvents(socket);
             loop.execute(
                     () -> registry.applyManifestChanges(List.of(new SharedObject("main", 2, false, new byte[] {1}))));
             socket.getInputStream().transferTo(OutputStream.nullOutputStream());
         } catch (SocketException reset) {
-            // The broken stream ends with a reset or a close; either will do here.
+            // A broken stream may end with a reset or with a close.
         }
         try (Socket next = send("q2", "Parsleydrift-Deadline-Ms: 700\r\n")) {
-            String answer = new String(next.getInputStream().readAllBytes(), ISO_8859_1);
-            assertTrue(answer.startsWith("HTTP/1.1 402 "), answer);
+            String response = new String(next.getInputStream().readAllBytes(), ISO_8859_1);
+            assertTrue(response.startsWith("HTTP/1.1 402 "), response);
         }
-        assertEquals(countedOf("q1"), 288);
+        assertEquals(countedTokens("q1"), 288);
     }
 
-    private static void awaitPassedOn(Socket socket) throws IOException {
+    private static void awaitForwardedEvents(Socket socket) throws IOException {
         StringBuilder text = new StringBuilder();
         while (text.indexOf("data: b\n\n") < 0) {
             text.append((char) socket.getInputStream().read());
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/CallerConnectionTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/CallerConnectionTest.java
@@ -17,20 +17,20 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Framing of callers' requests. */
+/** Framing of callers' requests and responses. */
 public class CallerConnectionTest {
     private final List<CallerRequest> requests = new ArrayList<>();
-    private final List<CallerAnswer> answers = new ArrayList<>();
-    private int gone;
+    private final List<CallerResponse> responses = new ArrayList<>();
+    private int disconnects;
 
     private EmbeddedChannel connect() {
         requests.clear();
-        answers.clear();
-        gone = 0;
-        RequestHandler handler = (request, answer) -> {
+        responses.clear();
+        disconnects = 0;
+        RequestHandler handler = (request, response) -> {
             requests.add(request);
-            answers.add(answer);
-            return () -> gone++;
+            responses.add(response);
+            return () -> disconnects++;
         };
         ConnectionOwner owner = new ConnectionOwner() {
             @Override
@@ -39,15 +39,15 @@
             }
 
             @Override
-            public boolean draining() {
+            public boolean isDraining() {
                 return false;
             }
 
             @Override
-            public void opened(CallerConnection connection) {}
+            public void connectionOpened(CallerConnection connection) {}
 
             @Override
-            public void closed(CallerConnection connection) {}
+            public void connectionClosed(CallerConnection connection) {}
         };
         return new EmbeddedChannel(
                 new StrictRequestDecoder(16384),
@@ -59,7 +59,7 @@
         channel.writeInbound(Unpooled.copiedBuffer(text, UTF_8));
     }
 
-    private static String sent(EmbeddedChannel channel) {
+    private static String readResponse(EmbeddedChannel channel) {
         channel.runPendingTasks();
         StringBuilder text = new StringBuilder();
         for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
@@ -84,51 +84,51 @@
         };
     }
 
-    /**
-     * Symptom: a runner runs a request that no caller sent. Events: a caller sends a request whose length can be read in
-     * two ways. Cause: the node reads it one way and the runner the other.
-     */
+    /** Ambiguous framing must be rejected, since it permits request smuggling. */
     @Test(dataProvider = "ambiguous")
     public void refusesAmbiguousFraming(String text) {
         EmbeddedChannel channel = connect();
         send(channel, text + "GET /smuggled/ HTTP/1.1\r\nHost: h\r\n\r\n");
-        assertTrue(sent(channel).startsWith("HTTP/1.1 400 "));
+        assertTrue(readResponse(channel).startsWith("HTTP/1.1 400 "));
         assertEquals(requests.size(), 0);
         assertFalse(channel.isOpen());
     }
 
     @Test
-    public void answersOneRequestAfterTheOther() {
+    public void processesPipelinedRequestsInOrder() {
         EmbeddedChannel channel = connect();
         String request = "POST /a/ HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
         send(channel, request + request);
         assertEquals(requests.size(), 1);
         assertEquals(new String(requests.getFirst().body(), UTF_8), "abc");
-        answers.getFirst().whole(200, DefaultHttpHeadersFactory.headersFactory().newHeaders(), new byte[] {'x'});
-        assertTrue(sent(channel).endsWith("\r\n\r\nx"));
+        responses
+                .getFirst()
+                .sendFull(200, DefaultHttpHeadersFactory.headersFactory().newHeaders(), new byte[] {'x'});
+        assertTrue(readResponse(channel).endsWith("\r\n\r\nx"));
         assertEquals(requests.size(), 2);
         assertTrue(channel.isOpen());
     }
 
-    /** Symptom: a runner works on for a caller that has left. Cause: nobody looks at the connection meanwhile. */
+    /** The handler must learn that the caller has disconnected, so that it cancels the request. */
     @Test
-    public void tellsThatACallerHasLeft() {
+    public void reportsDisconnectOfCaller() {
         EmbeddedChannel channel = connect();
         send(channel, "GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n");
         channel.close();
-        assertEquals(gone, 1);
+        assertEquals(disconnects, 1);
     }
 
-    /** An answer that broke off must not look complete. */
+    /** An aborted response must not look complete. */
     @Test
-    public void anAbortedStreamHasNoEnd() {
+    public void abortedStreamHasNoTerminatingChunk() {
         EmbeddedChannel channel = connect();
         send(channel, "GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n");
-        answers.getFirst()
+        responses
+                .getFirst()
                 .beginStream(200, DefaultHttpHeadersFactory.headersFactory().newHeaders());
-        answers.getFirst().events("id: 1\n\n".getBytes(UTF_8));
-        answers.getFirst().abort();
-        assertFalse(sent(channel).contains("\r\n0\r\n\r\n"));
+        responses.getFirst().sendEvents("id: 1\n\n".getBytes(UTF_8));
+        responses.getFirst().abort();
+        assertFalse(readResponse(channel).contains("\r\n0\r\n\r\n"));
         assertFalse(channel.isOpen());
     }
 }
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/QueueWaitTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/QueueWaitTest.java
@@ -10,40 +10,37 @@
 import org.parsleydrift.kernel.ManualScheduler;
 import org.testng.annotations.Test;
 
-/** How long a request waits for the runner that holds its prompt, and how long at all. */
+/** Timeouts of a request's wait for a runner. */
 public class QueueWaitTest {
-    private final List<String> seen = new ArrayList<>();
+    private final List<String> calls = new ArrayList<>();
 
-    /**
-     * Symptom: a request is refused for want of room though runners have places. Events: the runner that holds its prompt is
-     * stuck, and nothing else happens at the node. Cause: nobody looked again before the wait was over.
-     */
+    /** The placement must be retried near the end of the wait, also if no other event occurs at the node. */
     @Test
-    public void nearItsEndAnyRunnerWillDo() {
-        seen.clear();
+    public void placementIsRetriedNearTimeout() {
+        calls.clear();
         ManualScheduler time = new ManualScheduler();
-        QueueWait wait = new QueueWait(time.newLoop(), () -> seen.add("again"));
-        wait.begin(Duration.ofMillis(900), () -> seen.add("over"));
+        QueueWait wait = new QueueWait(time.newLoop(), () -> calls.add("again"));
+        wait.start(Duration.ofMillis(900), () -> calls.add("over"));
         time.advance(Duration.ofMillis(700));
-        assertFalse(wait.nearlyOver());
+        assertFalse(wait.isNearTimeout());
         time.advance(Duration.ofMillis(50));
-        assertTrue(wait.nearlyOver());
-        assertEquals(seen, List.of("again"));
+        assertTrue(wait.isNearTimeout());
+        assertEquals(calls, List.of("again"));
         time.advance(Duration.ofMillis(200));
-        assertEquals(seen, List.of("again", "over"));
+        assertEquals(calls, List.of("again", "over"));
     }
 
     @Test
-    public void aWaitThatEndedIsQuietAndMayBeginAnew() {
-        seen.clear();
+    public void cancelledWaitRunsNothingAndCanRestart() {
+        calls.clear();
         ManualScheduler time = new ManualScheduler();
-        QueueWait wait = new QueueWait(time.newLoop(), () -> seen.add("again"));
-        wait.begin(Duration.ofMillis(900), () -> seen.add("over"));
+        QueueWait wait = new QueueWait(time.newLoop(), () -> calls.add("again"));
+        wait.start(Duration.ofMillis(900), () -> calls.add("over"));
         time.advance(Duration.ofMillis(800));
-        wait.end();
+        wait.cancel();
         time.advance(Duration.ofSeconds(2));
-        assertEquals(seen, List.of("again"));
-        wait.begin(Duration.ofMillis(100), () -> seen.add("over"));
-        assertFalse(wait.nearlyOver());
+        assertEquals(calls, List.of("again"));
+        wait.start(Duration.ofMillis(100), () -> calls.add("over"));
+        assertFalse(wait.isNearTimeout());
     }
 }
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestMatchTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestMatchTest.java
@@ -18,11 +18,11 @@
 import org.parsleydrift.registry.TeamKeys;
 import org.testng.annotations.Test;
 
-/** Whose a request is. */
+/** Matching of requests to routes, teams and owners. */
 public class RequestMatchTest {
     private static final HeaderNames DIALECT = HeaderNames.defaults();
 
-    private static TeamKeys.Holder holder(String name, String key) {
+    private static TeamKeys.Holder keyHolder(String name, String key) {
         return new TeamKeys.Holder(new Team(name, OptionalInt.empty(), Quota.UNLIMITED), List.of(key));
     }
 
@@ -57,12 +57,12 @@
     }
 
     /**
-     * A caller that names another team's turn would be given what was said in it. Turns are kept under their owner's name, so
-     * no two owners' names may run into the ids behind them: of teams, of none, and of callers on open routes.
+     * The owner prefixes of teams, of open routes and of manifests without teams must not overlap, or a caller could
+     * read the turns of another owner.
      */
     @Test
-    public void eachTeamOwnsItsTurnsAlone() {
-        Optional<TeamKeys> teams = Optional.of(new TeamKeys(List.of(holder("a", "k1"), holder("a1:b:", "k2"))));
+    public void ownerPrefixesDoNotOverlap() {
+        Optional<TeamKeys> teams = Optional.of(new TeamKeys(List.of(keyHolder("a", "k1"), keyHolder("a1:b:", "k2"))));
         String a = owner(teams, "/closed/", "k1");
         String longer = owner(teams, "/closed/", "k2");
         String open = owner(teams, "/open/", "k1");
@@ -74,8 +74,8 @@
     }
 
     @Test
-    public void anotherTeamsKeyIsAnotherTeam() {
-        Optional<TeamKeys> teams = Optional.of(new TeamKeys(List.of(holder("a", "k1"), holder("b", "k2"))));
+    public void keysAreMatchedToTheirTeams() {
+        Optional<TeamKeys> teams = Optional.of(new TeamKeys(List.of(keyHolder("a", "k1"), keyHolder("b", "k2"))));
         assertEquals(
                 ((RequestMatch.Found) match(teams, "/closed/x", "k2"))
                         .team()
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestFactsTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestParametersTest.java
@@ -9,8 +9,8 @@
 import org.parsleydrift.placement.PromptPart;
 import org.testng.annotations.Test;
 
-/** What headers of a request say. */
-public class RequestFactsTest {
+/** Parsing of request headers. */
+public class RequestParametersTest {
     private static List<PromptPart> prompt(String parts, String program, String budget) {
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
         headers.set("Parsleydrift-Request", "q1");
@@ -21,26 +21,28 @@
         if (!budget.isEmpty()) {
             headers.set("Parsleydrift-Token-Budget", budget);
         }
-        return RequestFacts.read(headers, HeaderNames.defaults()).orElseThrow().prompt();
+        return RequestParameters.parse(headers, HeaderNames.defaults())
+                .orElseThrow()
+                .prompt();
     }
 
     @Test
-    public void readsThePartsInOrder() {
+    public void parsesPartsInOrder() {
         assertEquals(prompt("a1:512, b2:40", "", ""), List.of(new PromptPart("a1", 512), new PromptPart("b2", 40)));
     }
 
-    /** Symptom: a proper request is refused for a header that only helps to place it. */
+    /** A malformed header that only affects placement must not lead to a rejection. */
     @Test
-    public void partsThatMakeNoSenseCountAsNone() {
+    public void malformedPartsAreIgnored() {
         List.of("", "x", "a:", ":5", "a:-5", "a:5,,b:6", "a:5,", "a:99999999999", "a:1.5")
                 .forEach(parts -> assertEquals(prompt(parts, "", ""), List.of(), parts));
     }
 
-    /** Turns of a program that says nothing of its prompts are kept together all the same. */
+    /** Turns of a program that sends no prompt parts still share one part. */
     @Test
-    public void withoutPartsTheProgramIsOne() {
-        List<PromptPart> whole = prompt("", "p1", "100");
-        assertEquals(whole.stream().map(PromptPart::id).toList(), List.of("p1"));
-        assertTrue(whole.getFirst().tokens() > 0);
+    public void programIsOnePartByDefault() {
+        List<PromptPart> prompt = prompt("", "p1", "100");
+        assertEquals(prompt.stream().map(PromptPart::id).toList(), List.of("p1"));
+        assertTrue(prompt.getFirst().tokens() > 0);
     }
 }
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RunnerConnectionTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RunnerConnectionTest.java
@@ -17,62 +17,62 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Answers of runners that are late, doubled, cut or no answers at all. */
+/** Handling of late, duplicate, truncated and malformed responses of runners. */
 public class RunnerConnectionTest {
     private static final String STAMP = "Parsleydrift-Stamp: s\r\n";
 
-    private final List<RunnerConnection> kept = new ArrayList<>();
+    private final List<RunnerConnection> pooled = new ArrayList<>();
     private final List<String> events = new ArrayList<>();
     private RunnerConnection connection;
     private EmbeddedChannel channel;
 
-    private final RunnerAnswer answer = new RunnerAnswer() {
+    private final RunnerResponseListener listener = new RunnerResponseListener() {
         @Override
-        public void head(int status, HttpHeaders headers) {
+        public void onHead(int status, HttpHeaders headers) {
             events.add("head " + status);
         }
 
         @Override
-        public void part(byte[] bytes) {
+        public void onPart(byte[] bytes) {
             events.add("part " + new String(bytes, UTF_8));
         }
 
         @Override
-        public void end() {
+        public void onEnd() {
             events.add("end");
         }
 
         @Override
-        public void broken(boolean mayHaveRun, String reason) {
+        public void onFailure(boolean mayHaveRun, String reason) {
             events.add("broken " + mayHaveRun);
         }
     };
 
     @BeforeMethod
     public void connect() {
-        kept.clear();
+        pooled.clear();
         events.clear();
-        IdleConnections pool = new IdleConnections() {
+        ConnectionPool pool = new ConnectionPool() {
             @Override
-            public void idle(RunnerConnection idle) {
-                kept.add(idle);
+            public void release(RunnerConnection idle) {
+                pooled.add(idle);
             }
 
             @Override
-            public void closed(RunnerConnection closed) {
-                kept.remove(closed);
+            public void remove(RunnerConnection closed) {
+                pooled.remove(closed);
             }
         };
         connection = new RunnerConnection(pool, "r1", HeaderNames.defaults(), new ManualScheduler());
         channel = new EmbeddedChannel(new HttpResponseDecoder(), connection);
     }
 
-    private void ask(String id) {
+    private void send(String id) {
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
-        connection.send(new RunnerRequest(id, "GET", "/a/", headers, new byte[0], true), answer);
+        connection.send(new RunnerRequest(id, "GET", "/a/", headers, new byte[0], true), listener);
     }
 
-    private static String answerFor(String id, String body) {
+    private static String responseTo(String id, String body) {
         return "HTTP/1.1 200 OK\r\nParsleydrift-Request: " + id + "\r\n" + STAMP + "Content-Length: " + body.length()
                 + "\r\n\r\n" + body;
     }
@@ -82,88 +82,81 @@
     }
 
     @Test
-    public void aWholeAnswerLeavesTheConnectionForTheNextRequest() {
-        ask("q1");
-        receive(answerFor("q1", "one"));
+    public void completeResponseReturnsConnectionToPool() {
+        send("q1");
+        receive(responseTo("q1", "one"));
         assertEquals(events, List.of("head 200", "part one", "end"));
-        assertEquals(kept, List.of(connection));
+        assertEquals(pooled, List.of(connection));
     }
 
-    /**
-     * Symptom: a caller gets another caller's answer. Events: a runner answers q1 twice; the second answer arrives once
-     * q2 waits on the same connection. Cause: answers are matched by their place alone.
-     */
+    /** A duplicate response to an earlier request must not be taken for that of the current one. */
     @Test
-    public void aSecondAnswerToAnEarlierRequestIsSkipped() {
-        ask("q1");
-        receive(answerFor("q1", "one"));
-        kept.clear();
+    public void duplicateResponseIsSkipped() {
+        send("q1");
+        receive(responseTo("q1", "one"));
+        pooled.clear();
         events.clear();
-        ask("q2");
-        receive(answerFor("q1", "one") + answerFor("q2", "two"));
+        send("q2");
+        receive(responseTo("q1", "one") + responseTo("q2", "two"));
         assertEquals(events, List.of("head 200", "part two", "end"));
-        assertEquals(kept, List.of());
+        assertEquals(pooled, List.of());
         assertFalse(channel.isOpen());
     }
 
-    /** Bytes that nobody asked for spoil an idle connection. */
+    /** An unsolicited response closes an idle connection. */
     @Test
-    public void anIdleConnectionThatSpeaksIsClosed() {
-        ask("q1");
-        receive(answerFor("q1", "one"));
-        receive(answerFor("q1", "one"));
+    public void unsolicitedResponseClosesConnection() {
+        send("q1");
+        receive(responseTo("q1", "one"));
+        receive(responseTo("q1", "one"));
         assertFalse(channel.isOpen());
-        assertEquals(kept, List.of());
+        assertEquals(pooled, List.of());
     }
 
     @Test
-    public void anAnswerThatIsCutIsBrokenAndMayHaveRun() {
-        ask("q1");
+    public void truncatedResponseMayHaveRun() {
+        send("q1");
         receive("HTTP/1.1 200 OK\r\nParsleydrift-Request: q1\r\n" + STAMP + "Content-Length: 10\r\n\r\nhalf");
         channel.close();
         assertEquals(events, List.of("head 200", "part half", "broken true"));
     }
 
     @Test
-    public void bytesThatAreNoAnswerBreakIt() {
-        ask("q1");
+    public void malformedResponseFails() {
+        send("q1");
         receive("garbage without any sense\r\n\r\n");
         assertEquals(events, List.of("broken true"));
         assertFalse(channel.isOpen());
     }
 
-    /** An answer without a length is whole when its connection ends, but not when it is reset. */
+    /** A response without a length is complete when its connection is closed, but not when it is reset. */
     @Test
-    public void anAnswerWithoutLengthEndsWithItsConnection() {
-        ask("q1");
+    public void responseWithoutLengthEndsWithConnection() {
+        send("q1");
         receive("HTTP/1.1 200 OK\r\nParsleydrift-Request: q1\r\n" + STAMP + "\r\nbody");
         channel.close();
         assertEquals(events, List.of("head 200", "part body", "end"));
         connect();
-        ask("q1");
+        send("q1");
         receive("HTTP/1.1 200 OK\r\nParsleydrift-Request: q1\r\n" + STAMP + "\r\nbody");
         channel.pipeline().fireExceptionCaught(new java.io.IOException("connection reset"));
         assertTrue(events.contains("broken true"));
         assertFalse(events.contains("end"));
     }
 
-    /**
-     * Symptom: a caller is given a success that no runner vouches for. Events: a runner that spoils its answers sends
-     * "200" with a body on a fresh connection, but without the request's id or without its stamp. Cause: the first answer
-     * on a connection was taken for the request's own if it named no other.
-     */
-    @Test(dataProvider = "unprovenHeads")
-    public void aSuccessWithoutIdOrStampIsBroken(String head) {
-        ask("q1");
+    /** A success response without request id or stamp must not be forwarded, even as the first one on a connection. */
+    @Test(dataProvider = "unauthenticatedHeads")
+    public void successWithoutIdOrStampFails(String head) {
+        send("q1");
         receive("HTTP/1.1 200 OK\r\n" + head + "Content-Length: 4\r\n\r\nbody");
         assertEquals(events, List.of("broken true"));
         assertFalse(channel.isOpen());
-        assertEquals(kept, List.of());
+        assertEquals(pooled, List.of());
     }
 
-    /** Heads that have lost what proves them. */
+    /** Response heads without request id, stamp or both. */
     @DataProvider
-    public Object[][] unprovenHeads() {
+    public Object[][] unauthenticatedHeads() {
         return new Object[][] {{""}, {STAMP}, {"Parsleydrift-Request: q1\r\n"}};
     }
 }
