--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/BeginRequest.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/BeginRequest.java
@@ -4,15 +4,15 @@
 import java.util.OptionalInt;
 
 /**
- * What a turn needs before it may go to a runner.
+ * A request to begin a turn.
  *
- * @param program its program; empty for none
- * @param request the id of the request
- * @param budget tokens that all turns of the program may generate, if it has a budget
- * @param mostTokens the most that this turn generates
- * @param previous the turn it goes on from; empty for none
- * @param retention how long the program's records are needed
- * @param patience how long to try
+ * @param program the program; empty for none
+ * @param request the request ID
+ * @param budget the number of tokens that all turns of the program together may generate, if limited
+ * @param mostTokens the maximum number of tokens that this turn may generate
+ * @param previous the ID of the preceding turn; empty for none
+ * @param retention the retention period of the reservation
+ * @param patience how long to retry each request to the store VMs
  */
 public record BeginRequest(
         String program,
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/BeginResult.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/BeginResult.java
@@ -2,31 +2,31 @@
 
 import java.util.List;
 
-/** Whether a turn may run. */
+/** The outcome of a request to begin a turn. */
 public sealed interface BeginResult {
     /**
-     * It may run; its tokens are reserved.
+     * The turn may run; if its program has a budget, its tokens are reserved.
      *
-     * @param chain earlier turns, oldest first
-     * @param settled grants of the program's turns that ended whole, in no order
+     * @param chain the preceding turns of the conversation, oldest first
+     * @param settled the settled grants of the program, in no order
      */
     record Granted(List<Turn> chain, List<Grant> settled) implements BeginResult {}
 
     /**
-     * The budget does not hold the turn at its most.
+     * The rest of the token budget is smaller than the maximum number of tokens of the turn.
      *
-     * @param counted tokens that count already
-     * @param generated those among them of turns that ended whole; the rest is reserved or broke off
+     * @param counted the tokens already counted against the budget
+     * @param generated the part of these tokens that belongs to settled grants; the rest is reserved
      */
     record Spent(int counted, int generated) implements BeginResult {}
 
-    /** The turn that it goes on from does not exist; said only on the word of a read quorum. */
+    /** The preceding turn does not exist at any member of a read quorum. */
     record NoSuchTurn() implements BeginResult {}
 
     /**
-     * Not enough store VMs answered.
+     * No quorum of the store VMs answered, or a turn of the chain is missing.
      *
-     * @param reason why
+     * @param reason the error message, for logs
      */
     record Unavailable(String reason) implements BeginResult {}
 }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationClient.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationClient.java
@@ -15,17 +15,14 @@
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 
-/** An entry node's way to the store VMs: quorum writes and reads at the newest set that it has heard of. */
+/** Client of the store VMs on an entry node: quorum reads and writes at the newest known store set. */
 public final class ConversationClient {
     private static final Logger LOG = System.getLogger(ConversationClient.class.getName());
-    /** Patience with one reply, ms; a healthy one takes ten at most, a store VM that starts about a second. */
+    /** Timeout of a single request; shorter than the restart of a store VM, so that it is retried meanwhile. */
     private static final Duration REPLY_PATIENCE = Duration.ofMillis(250);
-    /**
-     * Patience with the nearest members before the others are asked too; a read takes two ms between zones, and some ten
-     * where a store VM is busy.
-     */
+    /** Delay after which a read that the nearest members have not answered is sent to the others as well. */
     private static final Duration NEAREST_PATIENCE = Duration.ofMillis(15);
-    /** Pause before a member that could not answer is asked again, ms. */
+    /** Delay before a request is retried at a member. */
     private static final Duration RETRY_PAUSE = Duration.ofMillis(20);
 
     private final EventLoop loop;
@@ -33,10 +30,10 @@
     private Optional<StoreSet> set = Optional.empty();
 
     /**
-     * Makes a client.
+     * Creates a client without a known store set.
      *
-     * @param loop its loop
-     * @param calls asks store VMs
+     * @param loop the event loop that all methods are called on
+     * @param calls exchanges requests with the store VMs
      */
     public ConversationClient(EventLoop loop, ReplicaCalls calls) {
         this.loop = loop;
@@ -44,9 +41,9 @@
     }
 
     /**
-     * Takes in a set if it is newer.
+     * Adopts a store set if its epoch is newer than that of the known one.
      *
-     * @param newer a set heard of
+     * @param newer the store set
      */
     public void adopt(StoreSet newer) {
         if (set.isEmpty() || newer.epoch() > set.get().epoch()) {
@@ -64,15 +61,15 @@
         }
     }
 
-    /** The time on the loop's clock. */
+    /** Returns the monotonic time of the event loop's clock. */
     long nanos() {
         return loop.clock().nanos();
     }
 
     /**
-     * Whether a write quorum is within direct reach, as far as the last requests tell.
+     * Whether a write quorum is directly reachable, judging by the latest requests.
      *
-     * @return false if too many paths gave no reply
+     * @return false if the paths to too many members are broken, or if no set is known
      */
     public boolean reachesStores() {
         return set.filter(known -> known.members().stream()
@@ -83,22 +80,22 @@
     }
 
     /**
-     * The newest set heard of.
+     * Returns the newest known store set.
      *
-     * @return the set, if any
+     * @return the set, or empty if none is known yet
      */
     public Optional<StoreSet> set() {
         return set;
     }
 
     /**
-     * Keeps grants and a turn at a write quorum.
+     * Writes grants and a turn to a write quorum.
      *
      * @param grants the grants
      * @param turn the turn, if any
-     * @param retention how long they are needed
-     * @param patience how long to try
-     * @return done once a write quorum has them on disk; fails with StepException
+     * @param retention the retention period of the grants and the turn
+     * @param patience how long to retry
+     * @return completes once a write quorum has them on disk; fails with StepException on a timeout
      */
     public CompletableFuture<Void> write(
             List<Grant> grants, Optional<Turn> turn, Duration retention, Duration patience) {
@@ -112,26 +109,25 @@
     }
 
     /**
-     * Reads a program's grants and a chain at the nearest read quorum. The texts of the chain come from the nearest member
-     * alone; the others say which turns they hold. Asking all members for all texts took a third of the bytes between
-     * availability zones.
+     * Reads the grants of a program and a chain of turns from the nearest read quorum. Only the nearest member sends the
+     * turns themselves, the others only their IDs, to limit the traffic between availability zones.
      *
      * @param program the program; empty for none
-     * @param lastTurn the last turn of the chain; empty for none
-     * @param patience how long to try
-     * @return what was found, joined; fails with StepException
+     * @param lastTurn the ID of the last turn of the chain; empty for none
+     * @param patience how long to retry
+     * @return completes with the merged replies; fails with StepException on a timeout
      */
     CompletableFuture<Joined> read(String program, String lastTurn, Duration patience) {
         return read(program, lastTurn, true, patience);
     }
 
     /**
-     * Reads at all members, with all texts.
+     * Reads the same from all members, each of which sends the turns themselves.
      *
      * @param program the program; empty for none
-     * @param lastTurn the last turn of the chain; empty for none
-     * @param patience how long to try
-     * @return what was found, joined; fails with StepException
+     * @param lastTurn the ID of the last turn of the chain; empty for none
+     * @param patience how long to retry
+     * @return completes with the merged replies of the first read quorum; fails with StepException on a timeout
      */
     CompletableFuture<Joined> readAtAll(String program, String lastTurn, Duration patience) {
         return read(program, lastTurn, false, patience);
@@ -148,10 +144,10 @@
     }
 
     /**
-     * Looks for turns at all members.
+     * Reads single turns from all members without waiting for a quorum.
      *
-     * @param turns their ids
-     * @return those found at members that answer
+     * @param turns the IDs of the turns
+     * @return completes with the turns found, repeated if several members have them; never fails
      */
     CompletableFuture<List<Turn>> fetch(List<String> turns) {
         List<CompletableFuture<List<Turn>>> asked = set.stream()
@@ -166,11 +162,11 @@
     }
 
     /**
-     * What a read quorum holds.
+     * The merged replies of a read quorum.
      *
-     * @param grants grants by request
-     * @param turns turns by id
-     * @param turnIds ids of all turns that a member holds, also of those whose text was not asked for
+     * @param grants the grants by request ID
+     * @param turns the turns by ID
+     * @param turnIds the IDs of all turns found, including those that were not sent
      */
     record Joined(Map<String, Grant> grants, Map<String, Turn> turns, Set<String> turnIds) {
         static Joined of(List<ReplicaReply> replies) {
@@ -194,7 +190,7 @@
         int of(StoreSet set);
     }
 
-    /** One request to the members, or first to the nearest ones, until enough of one epoch have answered it. */
+    /** A request to all members, or first to the nearest, that is retried until enough of one epoch have answered. */
     private final class QuorumCall {
         private final CompletableFuture<List<ReplicaReply>> done = new CompletableFuture<>();
         private final RequestAt request;
@@ -248,7 +244,7 @@
             loop.schedule(NEAREST_PATIENCE, () -> askOthers(target));
         }
 
-        /** Asks all that were not asked yet. */
+        /** Sends the request to all members that it was not sent to yet. */
         private void askOthers(StoreSet target) {
             target.members().stream()
                     .filter(each -> !asked.contains(each))
@@ -296,7 +292,7 @@
             }
         }
 
-        /** A member that was away learns the set from those who need it, also when the platform turns it away. */
+        /** Sends the set to a member at an earlier epoch, which may be unable to read it from the platform. */
         private void tell(StoreSet target, StoreMember member, boolean whole) {
             lastTrouble = member.name() + " is at an earlier epoch";
             calls.ask(member.address(), new ReplicaRequest.Tell(Optional.of(target)), REPLY_PATIENCE)
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationCodec.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationCodec.java
@@ -8,7 +8,7 @@
 import org.msgpack.core.MessageUnpacker;
 import org.parsleydrift.kernel.codec.MessagePackFrames;
 
-/** MessagePack of all that goes between entry nodes and store VMs, and to disk. Written by hand: no reflection at start. */
+/** MessagePack encoding of requests, replies and records. Hand-written to avoid the startup cost of reflection. */
 final class ConversationCodec {
     private ConversationCodec() {}
 
@@ -138,7 +138,7 @@
                 in.unpackInt());
     }
 
-    /** Reads a grant as earlier versions wrote it to disk. */
+    /** Reads a grant in the earlier on-disk format, which has no prompt part. */
     static Grant grantWithoutPart(MessageUnpacker in) throws IOException {
         return new Grant(
                 in.unpackString(),
@@ -166,7 +166,7 @@
         return new StoreMember(in.unpackString(), in.unpackString(), in.unpackString());
     }
 
-    /** Writes one entry of a list. */
+    /** Writes one element of a list. */
     interface EntryWriter<T> {
         void write(MessagePacker out, T value) throws IOException;
     }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationReplica.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationReplica.java
@@ -13,20 +13,19 @@
 import org.parsleydrift.kernel.LogLine;
 
 /**
- * The store role of one VM: keeps turns and grants on disk and answers entry nodes and other members. Each change of
- * the set begins a new epoch. A member that adopts it takes no more writes of earlier ones, and answers reads again only
- * once it has taken over all that counts in them: a member that was away, or whose disk was emptied, would otherwise say
- * "no such turn" of a turn that was answered whole, or grant tokens that are spent.
+ * A replica of the conversations on one store VM: stores turns and grants on disk and answers entry nodes and other
+ * members. Each change of the store set starts a new epoch. A member that adopts it rejects writes of earlier epochs, and
+ * serves reads only after it has synchronized all committed records of those epochs. Without this rule, a member that was
+ * unreachable or lost its disk could deny that a committed turn exists, or under-count a token budget.
  */
 public final class ConversationReplica implements ReplicaCalls.Handler {
     private static final Logger LOG = System.getLogger(ConversationReplica.class.getName());
-    /** Pause between rounds of taking over, ms: some round trips between zones. */
+    /** Delay before a failed synchronization is retried. */
     private static final Duration TAKE_OVER_PAUSE = Duration.ofMillis(40);
-    /** Patience with a member asked for keys or turns; a healthy one answers within ten ms. */
     private static final Duration TAKE_OVER_PATIENCE = Duration.ofMillis(700);
-    /** Turns fetched at once: some 400 KB at the usual size of a turn. */
+    /** Maximum number of turns per fetch request; limits the size of a reply. */
     private static final int FETCH_BATCH = 64;
-    /** Records taken over are kept for this long at least, ms; their own end is not passed on. */
+    /** Minimum retention of synchronized records, whose original expiry is not transferred. */
     private static final long TAKEN_OVER_KEEP_MILLIS = 60_000;
 
     private static final Duration EXPIRY_PERIOD = Duration.ofSeconds(5);
@@ -40,12 +39,12 @@
     private boolean takingOver;
 
     /**
-     * Opens the data of a store VM.
+     * Opens the replica and replays its log.
      *
-     * @param loop its loop
-     * @param log its disk
-     * @param name the VM's name
-     * @param freshDisk makes the id to give to the data if there is none yet
+     * @param loop the event loop that all methods are called on
+     * @param log the durable storage of this VM
+     * @param name the name of this VM
+     * @param freshDisk generates the disk ID if the storage is empty
      */
     public ConversationReplica(EventLoop loop, DurableLog log, String name, Supplier<String> freshDisk) {
         this.loop = loop;
@@ -71,9 +70,9 @@
     }
 
     /**
-     * Begins to serve.
+     * Starts to synchronize and to expire records.
      *
-     * @param ownCalls asks other members
+     * @param ownCalls exchanges requests with the other members
      */
     public void start(ReplicaCalls ownCalls) {
         calls = ownCalls;
@@ -82,27 +81,27 @@
     }
 
     /**
-     * The id of the data on this disk.
+     * Returns the ID of the data on this disk.
      *
-     * @return the id
+     * @return the disk ID, which persists across restarts
      */
     public String disk() {
         return state.disk();
     }
 
     /**
-     * The set in force here.
+     * Returns the adopted store set.
      *
-     * @return the set, if one is known
+     * @return the set, or empty if none was adopted yet
      */
     public Optional<StoreSet> set() {
         return state.adopted();
     }
 
     /**
-     * Whether it holds all that counts and may answer reads.
+     * Whether this replica may serve reads.
      *
-     * @return whether it is a member and complete
+     * @return true if it is a member and holds all committed records of earlier epochs
      */
     public boolean complete() {
         return state.adopted().isPresent() && state.completeEpoch() >= state.adoptedEpoch() && member();
@@ -113,19 +112,19 @@
     }
 
     /**
-     * How far this member is.
+     * Returns the epochs that this replica has adopted and completed.
      *
-     * @return its progress
+     * @return the progress
      */
     public ReplicaReply.Progress progress() {
         return new ReplicaReply.Progress(name, state.disk(), state.adoptedEpoch(), state.completeEpoch());
     }
 
     /**
-     * Adopts a set if it is newer.
+     * Adopts a store set if its epoch is newer than that of the adopted one.
      *
-     * @param set the set
-     * @return done once the adoption survives a loss of power
+     * @param set the store set
+     * @return completes once the adoption survives a power loss, or at once if the set is not newer
      */
     public CompletableFuture<Void> adopt(StoreSet set) {
         if (set.epoch() <= state.adoptedEpoch()) {
@@ -165,12 +164,12 @@
             return CompletableFuture.completedFuture(refused.get());
         }
         if (!member()) {
-            // A VM that came back with an empty disk has the address of the member that it was; its word would be
-            // taken for that of data that is gone.
+            // A VM that restarted with an empty disk still has its member's address, but must not acknowledge writes
+            // on behalf of the lost disk.
             return CompletableFuture.completedFuture(new ReplicaReply.Incomplete());
         }
         var entries = held.keep(write.grants(), write.turn().stream().toList(), write.keepMillis(), nowMillis());
-        // Also without news: an earlier copy of the same write may not be on disk yet.
+        // Append even if nothing is new: an earlier copy of the same write may not be on disk yet.
         return log.append(entries).thenApply(done -> new ReplicaReply.Written());
     }
 
@@ -202,7 +201,7 @@
                 : Optional.empty();
     }
 
-    /** Keys for a member that takes over into a set; only one that was complete in the epoch before can give them. */
+    /** Lists the records for a member that synchronizes; requires that this replica completed the preceding epoch. */
     private ReplicaReply keys(StoreSet set) {
         if (state.adoptedEpoch() > set.epoch()) {
             return new ReplicaReply.Stale(state.adopted().orElseThrow());
@@ -254,7 +253,7 @@
         return loop.clock().instant().toEpochMilli();
     }
 
-    /** One round of taking over all that counts in earlier epochs. */
+    /** One attempt to synchronize all committed records of earlier epochs. */
     private final class TakeOver {
         private final StoreSet set;
         private final Map<String, ReplicaReply.Keys> keys = new HashMap<>();
@@ -306,7 +305,7 @@
             }
         }
 
-        /** Takes the grants of each source, then the turns that are missing here. */
+        /** Stores the grants of each source, then fetches the turns that are missing here. */
         private void fetchNext(List<Map.Entry<String, ReplicaReply.Keys>> sources) {
             if (sources.isEmpty()) {
                 takeOverEnded(set, true, taken);
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Conversations.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Conversations.java
@@ -12,14 +12,14 @@
 import org.parsleydrift.kernel.StepException;
 
 /**
- * Begins and ends turns. Tokens are reserved first and counted after: the reservation goes to a write quorum, and only
- * then are the program's grants read from a read quorum and judged. Of any turns that begin at the same time, the last
- * to finish its write reads all others' reservations; so no set of them can pass together when the budget does not hold
- * them all. Judging on the replies to the write alone would let three pass pairwise.
+ * Begins and commits turns. A reservation is first written to a write quorum; only then are the grants of the program read
+ * from a read quorum and compared with the budget. Of several concurrent turns, the last to complete its write reads the
+ * reservations of all others, so together they cannot exceed the budget. Checking the replies to the write alone would
+ * not ensure this, since three reservations could each see just one of the others.
  */
 public final class Conversations {
     private static final Logger LOG = System.getLogger(Conversations.class.getName());
-    /** How long the store VMs are tried to give a reservation back, or to note the end of a turn that was passed on. */
+    /** Timeout of writes on whose result no caller waits. */
     private static final Duration BACKGROUND_PATIENCE = Duration.ofSeconds(20);
 
     private final ConversationClient client;
@@ -27,9 +27,9 @@
     private final QuorumHealth health;
 
     /**
-     * Makes it.
+     * Creates an instance.
      *
-     * @param client the way to the store VMs
+     * @param client the client of the store VMs
      */
     public Conversations(ConversationClient client) {
         this.client = client;
@@ -37,10 +37,10 @@
     }
 
     /**
-     * Reserves a turn's tokens and reads the chain that it goes on from.
+     * Reserves the tokens of a turn and reads the chain of turns that precede it.
      *
-     * @param begin what the turn needs
-     * @return whether it may run; never fails
+     * @param begin the turn to begin
+     * @return completes with the outcome; never fails
      */
     public CompletableFuture<BeginResult> begin(BeginRequest begin) {
         int generated = spent.atLeast(begin.program());
@@ -93,13 +93,13 @@
     }
 
     /**
-     * Notes the end of a turn that ended whole.
+     * Commits a completed turn.
      *
-     * @param grant its grant, if the program has a budget
-     * @param turn what was said, if it is kept
-     * @param retention how long it is needed
-     * @param patience how long to try
-     * @return done once it survives
+     * @param grant its settled grant, if the program has a budget
+     * @param turn the turn, if the conversation is stored
+     * @param retention the retention period of both
+     * @param patience how long to retry
+     * @return completes once a write quorum has both on disk; fails with StepException on a timeout
      */
     public CompletableFuture<Void> commit(
             Optional<Grant> grant, Optional<Turn> turn, Duration retention, Duration patience) {
@@ -107,27 +107,27 @@
     }
 
     /**
-     * Gives a reservation back; only for a turn that no runner has begun or will begin.
+     * Releases a reservation in the background. Only valid if no runner has started the turn or will start it.
      *
      * @param program the program
-     * @param request the id of the request
-     * @param retention how long it is needed
+     * @param request the request ID
+     * @param retention the retention period of the released grant
      */
     public void release(String program, String request, Duration retention) {
         background(new Grant(program, request, GrantState.RELEASED, 0, ""), retention);
     }
 
     /**
-     * Notes in the background what a turn that was passed on whole has generated.
+     * Writes a grant in the background; a failure is only logged.
      *
-     * @param grant the settled grant
-     * @param retention how long it is needed
+     * @param grant the grant
+     * @param retention the retention period of the grant
      */
     public void background(Grant grant, Duration retention) {
         client.write(List.of(grant), Optional.empty(), retention, BACKGROUND_PATIENCE)
                 .whenComplete((done, failure) -> {
                     if (failure != null) {
-                        // The reservation stays at its most, which errs on the side of the budget.
+                        // The reservation still counts with its maximum, so the budget is not exceeded.
                         LOG.log(
                                 Logger.Level.WARNING,
                                 () -> LogLine.of("grant_not_noted")
@@ -164,7 +164,7 @@
         return assemble(begin, found.turns(), settled, true);
     }
 
-    /** Each member gives the chain as far as it holds it; a hole in what they hold together is looked for once more. */
+    /** Assembles the chain from the turns read; reads a missing turn and those before it from all members. */
     private CompletableFuture<BeginResult> assemble(
             BeginRequest begin, Map<String, Turn> turns, List<Grant> settled, boolean mayFetch) {
         Deque<Turn> chain = new ArrayDeque<>();
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/DurableLog.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/DurableLog.java
@@ -4,27 +4,27 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** What a store VM keeps on its disk: records in order, and one small state that is replaced as a whole. */
+/** Durable storage of a store VM: an append-only log of records, and a small state that is replaced atomically. */
 public interface DurableLog extends AutoCloseable {
     /**
-     * A record.
+     * A record with its expiry.
      *
-     * @param bytes its bytes
-     * @param neededUntilMillis wall time, ms since 1970, after which it may be dropped
+     * @param bytes the encoded record
+     * @param neededUntilMillis the time after which it may be deleted, in ms since the Unix epoch
      */
     record Entry(byte[] bytes, long neededUntilMillis) {}
 
     /**
-     * Records found on disk at start, oldest first.
+     * Returns the records found when the log was opened; a second call may return none.
      *
-     * @return the records
+     * @return the records, oldest first
      */
     List<Entry> replay();
 
     /**
-     * The state found on disk at start.
+     * Reads the saved state.
      *
-     * @return the state, if there is one
+     * @return the state, or empty if none was saved
      */
     Optional<byte[]> state();
 
@@ -32,15 +32,15 @@
      * Appends records.
      *
      * @param entries the records
-     * @return done once they survive a loss of power
+     * @return completes once the records survive a power loss
      */
     CompletableFuture<Void> append(List<Entry> entries);
 
     /**
      * Replaces the state.
      *
-     * @param state its bytes
-     * @return done once it survives a loss of power
+     * @param state the encoded state
+     * @return completes once the state survives a power loss
      */
     CompletableFuture<Void> saveState(byte[] state);
 
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/FileDurableLog.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/FileDurableLog.java
@@ -26,14 +26,15 @@
 import org.parsleydrift.kernel.StepException;
 
 /**
- * Records in segment files. One thread writes: all that waits when a sync ends goes into the next one, so the disk's
- * sync time bounds the delay and not the rate. A segment is removed once none of its records is needed.
+ * Durable log in segment files, written by a single thread. Requests that arrive during a sync share the next one (group
+ * commit), so the sync time limits the latency but not the throughput. A segment is deleted once all of its records have
+ * expired.
  */
 public final class FileDurableLog implements DurableLog {
     private static final Logger LOG = System.getLogger(FileDurableLog.class.getName());
-    /** Size at which a new segment begins, bytes: a tenth of the smallest disk is never held by stale records. */
+    /** Size at which a new segment is started; limits the disk space held by expired records. */
     private static final long SEGMENT_BYTES = 16L << 20;
-    /** Requests that may wait for the disk. */
+    /** Maximum number of requests waiting for the disk; a power of two. */
     private static final int RING_SIZE = 1 << 12;
 
     private static final String SUFFIX = ".log";
@@ -48,10 +49,11 @@
     private long currentBytes;
 
     /**
-     * Opens a folder, reads what it holds and cuts off a torn end.
+     * Opens the log in a directory and reads its records, ignoring a torn record at the end of a segment.
      *
-     * @param folder the folder
-     * @param clock tells when records are not needed any more
+     * @param folder the directory, created if absent
+     * @param clock the wall clock that decides when records have expired
+     * @throws StepException if the directory cannot be created, read or written
      */
     public FileDurableLog(Path folder, RuntimeClock clock) {
         this.folder = folder;
@@ -159,7 +161,7 @@
         }
     }
 
-    /** Begins a segment of a new name; the names of earlier lives are never written to again. */
+    /** Starts a segment in a new file. Segments written by earlier processes are never appended to. */
     private void begin() throws IOException {
         long number = segments.isEmpty() ? 1 : number(segments.getLast().file()) + 1;
         Path file = folder.resolve(String.format("%012d%s", number, SUFFIX));
@@ -190,7 +192,7 @@
         return Long.parseLong(name.substring(0, name.length() - SUFFIX.length()));
     }
 
-    /** The name of a new, renamed or removed file survives a loss of power only after a sync of its folder. */
+    /** Syncs the directory, without which a created, renamed or deleted file does not survive a power loss. */
     private void syncFolder() throws IOException {
         try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
             channel.force(true);
@@ -266,7 +268,7 @@
         private Work work;
     }
 
-    /** Runs on the disk's thread. */
+    /** Writes the queued requests; runs on the disk thread. */
     private final class DiskWriter implements EventHandler<Slot> {
         private final List<CompletableFuture<Void>> unsynced = new ArrayList<>();
 
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/FrameSender.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/FrameSender.java
@@ -1,17 +1,17 @@
 package org.parsleydrift.conversation;
 
-/** One-way frames between processes; best effort. */
+/** Sends one-way frames to other processes. Delivery is best effort. */
 public interface FrameSender {
     /**
      * Sends a frame.
      *
      * @param address the receiver's address
-     * @param frame its bytes
+     * @param frame the bytes of the frame
      */
     void send(String address, byte[] frame);
 
     /**
-     * Drops the connection to a receiver, so that the next frame opens a new one.
+     * Closes the connection to a receiver; the next frame opens a new one.
      *
      * @param address the receiver's address
      */
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Grant.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Grant.java
@@ -1,37 +1,37 @@
 package org.parsleydrift.conversation;
 
 /**
- * Tokens of a program's budget that one request may generate or has generated, and what the runner that served it holds
- * since. Any entry node may get the program's next request; it finds here where the prompt need not be read again.
+ * A share of a program's token budget that is reserved for or was used by one request, and the prompt prefix that the
+ * serving runner has cached since. Any entry node can use it to route the next request of the program to that runner.
  *
  * @param program the program
- * @param request the id of the request
- * @param state how far the request is
- * @param tokens the most it may generate, or once settled what it generated
- * @param runner the life of the runner that served it; empty if none is known
- * @param part the last part of its prompt, which the line of turns that it belongs to goes on to extend; empty for none
- * @param partTokens tokens of that part that the runner holds: those of the prompt and those that it generated
+ * @param request the request ID
+ * @param state the state of the grant
+ * @param tokens the maximum number of tokens that the request may generate; once settled, the number it generated
+ * @param runner the runner process that served the request; empty if unknown
+ * @param part the ID of the last part of the request's prompt, which later turns extend; empty if unknown
+ * @param partTokens the tokens cached on the runner up to and including the generated ones; 0 if unknown
  */
 public record Grant(
         String program, String request, GrantState state, int tokens, String runner, String part, int partTokens) {
     /**
-     * Makes a grant of which no more than its tokens is known.
+     * Creates a grant without information on the cached prompt prefix.
      *
      * @param program the program
-     * @param request the id of the request
-     * @param state how far the request is
-     * @param tokens the most it may generate, or once settled what it generated
-     * @param runner the life of the runner that served it; empty if none is known
+     * @param request the request ID
+     * @param state the state of the grant
+     * @param tokens the maximum number of tokens that the request may generate; once settled, the number it generated
+     * @param runner the runner process that served the request; empty if unknown
      */
     public Grant(String program, String request, GrantState state, int tokens, String runner) {
         this(program, request, state, tokens, runner, "", 0);
     }
 
     /**
-     * Joins what two members know of one grant: a later state wins.
+     * Merges two replicas of one grant.
      *
-     * @param other the other member's
-     * @return the later of both
+     * @param other the other replica
+     * @return the one with the later state; this one if the states are equal
      */
     public Grant join(Grant other) {
         return other.laterThan(this) ? other : this;
@@ -42,9 +42,9 @@
     }
 
     /**
-     * What counts against the budget.
+     * Returns the number of tokens that count against the budget.
      *
-     * @return tokens
+     * @return 0 for a released grant, else {@link #tokens}
      */
     public int counted() {
         return state == GrantState.RELEASED ? 0 : tokens;
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/GrantState.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/GrantState.java
@@ -2,13 +2,13 @@
 
 import java.util.Arrays;
 
-/** How far a grant is; later states come later in the list. */
+/** The state of a grant. The declaration order is the order of precedence when replicas differ. */
 public enum GrantState {
-    /** Counts at its most: the request may run, or broke off. */
+    /** The request may run or was interrupted; counts with the maximum number of tokens that it may generate. */
     RESERVED(1),
-    /** Counts nothing: no runner can have begun the request. */
+    /** No runner has started the request; does not count. */
     RELEASED(2),
-    /** Counts what was generated: the request ended whole. */
+    /** The number of generated tokens is known; counts with that number. */
     SETTLED(3);
 
     private final byte code;
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/HeldRecords.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/HeldRecords.java
@@ -13,13 +13,13 @@
 import java.util.Set;
 import org.parsleydrift.kernel.codec.MessagePackFrames;
 
-/** Turns and grants that a store VM holds, as in its log. Confined to one loop. */
+/** In-memory index of the turns and grants in the log of a store VM. Confined to one event loop. */
 final class HeldRecords {
-    /** Kept this many times as long as asked for, so that clocks that differ never drop a record too early. */
+    /** Factor on the requested retention, as a margin for clock skew between VMs. */
     private static final int KEEP_FACTOR = 3;
 
     private static final byte TURN = 1;
-    /** A grant as earlier versions wrote it; a VM that is upgraded still has such records on its disk. */
+    /** A grant in the earlier on-disk format, which an upgraded VM must still read. */
     private static final byte GRANT_WITHOUT_PART = 2;
 
     private static final byte GRANT = 3;
@@ -31,7 +31,7 @@
 
     private record Expiry(String key, boolean turn, long atMillis) {}
 
-    /** Takes in a record from disk. */
+    /** Adds a record read from disk, unless it has expired. */
     void replay(DurableLog.Entry entry, long nowMillis) {
         long until = entry.neededUntilMillis();
         if (until < nowMillis) {
@@ -49,7 +49,7 @@
         });
     }
 
-    /** Takes in records; gives those that were news, to be appended. */
+    /** Adds records and returns the log entries to append for those that were new or changed. */
     List<DurableLog.Entry> keep(Collection<Grant> grants, Collection<Turn> turnsToKeep, long keepMillis, long now) {
         long until = now + KEEP_FACTOR * keepMillis;
         List<DurableLog.Entry> entries = new ArrayList<>();
@@ -67,7 +67,7 @@
         return List.copyOf(ledgers.getOrDefault(program, Map.of()).values());
     }
 
-    /** The chain that ends with a turn, newest first, as far as it is held. */
+    /** Returns the chain that ends with the given turn, newest first, up to the first missing turn. */
     List<Turn> chain(String lastTurn) {
         List<Turn> chain = new ArrayList<>();
         Set<String> seen = new HashSet<>();
@@ -97,7 +97,7 @@
         return turns.size();
     }
 
-    /** Forgets what is needed no longer. */
+    /** Removes expired records. */
     void expire(long nowMillis) {
         while (!expiries.isEmpty() && expiries.peekFirst().atMillis() < nowMillis) {
             Expiry due = expiries.pollFirst();
@@ -122,8 +122,7 @@
         note(grant.program(), false, until);
         Map<String, Grant> ledger = ledgers.computeIfAbsent(grant.program(), any -> new HashMap<>());
         Grant before = ledger.get(grant.request());
-        // By the state alone: comparing all fields of some thousand grants takes a tenth of a start that reads the
-        // disk.
+        // Comparing only the states keeps the replay of large logs fast.
         if (before != null && !grant.laterThan(before)) {
             return false;
         }
@@ -136,7 +135,7 @@
         expiries.addLast(new Expiry(key, turn, until));
     }
 
-    /** A turn is kept with its whole chain: earlier turns that would go first are written anew with a later end. */
+    /** Extends the expiry of the turns of a chain that would expire before its last turn, by appending them again. */
     private void prolong(String id, long leastUntil, long until, List<DurableLog.Entry> entries) {
         chain(id).stream()
                 .filter(turn -> neededUntil.getOrDefault(turn.id(), 0L) < leastUntil)
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/MemberWatch.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/MemberWatch.java
@@ -7,28 +7,27 @@
 import java.util.Set;
 
 /**
- * Which members of a store set a store VM asks how far they are, and what they said. In a large set each asking each costs
- * more processor time than all turns: twelve members at rest sent 1,760 frames a second. So the first member that is
- * complete asks all, and the others ask the members before themselves up to the first that answers, to notice its end.
+ * Failure detector for the members of the store set: selects the members that this VM polls and tracks their replies. In a
+ * large set, polling between all pairs is too expensive. The first eligible member, the coordinator, polls all members;
+ * each other member polls the members before it up to the coordinator, to detect the coordinator's failure.
  */
 final class MemberWatch {
-    /** Up to so many members each asks each: there it costs a few frames, and each knows of a loss by itself. */
+    /** Largest set in which each member polls all others. */
     static final int ALL_ASK_ALL = 4;
 
-    /** Members that watch the platform for all. */
+    /** Number of members that watch the shared object. */
     private static final int WATCHING = 2;
 
     private final Map<String, Asked> asked = new HashMap<>();
 
-    /** Since when a member is asked in each round without a pause, when it answered last, and what it said. */
+    /** Start of the uninterrupted polling of a member, time of its last reply, and the complete epoch in that reply. */
     private record Asked(long sinceNanos, long answeredNanos, long completeEpoch) {}
 
-    /** What was said of an earlier set says nothing of the new one. */
+    /** Discards the reported epochs, which refer to the previous set. */
     void setChanged() {
         asked.replaceAll((disk, known) -> new Asked(known.sinceNanos(), known.answeredNanos(), 0));
     }
 
-    /** A member said how far it is. */
     void progress(String disk, long completeEpoch, long now) {
         asked.merge(
                 disk,
@@ -36,19 +35,19 @@
                 (known, fresh) -> new Asked(known.sinceNanos(), now, completeEpoch));
     }
 
-    /** Whether a member said that it holds all that counts at an epoch. */
+    /** Whether a member reported that it is complete at an epoch. */
     boolean complete(String disk, long epoch) {
         Asked known = asked.get(disk);
         return known != null && known.completeEpoch() >= epoch;
     }
 
     /**
-     * Whether a member that is asked has not answered for a time.
+     * Whether a polled member has not replied within a time limit.
      *
-     * @param disk the member's disk
-     * @param now the time
-     * @param limit how long
-     * @return whether it is silent; a member that is not asked is not silent
+     * @param disk the member's disk ID
+     * @param now the current time in ns
+     * @param limit the time limit
+     * @return whether the limit has passed without a reply; false for a member that is not polled
      */
     boolean silent(String disk, long now, Duration limit) {
         Asked known = asked.get(disk);
@@ -56,18 +55,18 @@
     }
 
     /**
-     * Chooses whom to ask in this round.
+     * Selects the members to poll in this round.
      *
-     * @param set the set in force
-     * @param self this VM's disk
-     * @param retiring names of VMs that are to be emptied, which don't act for the set
-     * @param now the time
-     * @return the members to ask
+     * @param set the current set
+     * @param self this VM's disk ID
+     * @param retiring names of the VMs that are being retired; these are not eligible as coordinator
+     * @param now the current time in ns
+     * @return the members to poll
      */
     List<StoreMember> asked(StoreSet set, String self, Set<String> retiring, long now) {
         List<StoreMember> chosen = choose(set, self, retiring, now);
         List<String> disks = chosen.stream().map(StoreMember::disk).toList();
-        // One that was not asked for a while has not been silent all the while.
+        // Forget members that are no longer polled, so that the time without polling does not count as unresponsive.
         asked.keySet().removeIf(disk -> !disk.equals(self) && !disks.contains(disk));
         disks.forEach(disk -> asked.putIfAbsent(disk, new Asked(now, now, 0)));
         return chosen;
@@ -89,9 +88,8 @@
     }
 
     /**
-     * Whether this VM should watch the platform for the set: as the one that acts for it, as the next one, which then has
-     * what it needs when the first is gone, or as one that is no member yet. A member that is not asked, since one before it
-     * answers, is taken for one that would act.
+     * Whether this VM should watch the shared object that holds the set: as the coordinator, as its successor, which is then
+     * up to date on failover, or as a VM outside the set. Members that are not polled count as eligible.
      */
     boolean watches(StoreSet set, String self, Set<String> retiring, long now) {
         long before = set.members().stream()
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/QuorumHealth.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/QuorumHealth.java
@@ -4,12 +4,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * Whether the store VMs answer turns, as the last ones found. Load pattern: no quorum answers for seconds; each turn waited
- * for it as long as it might, one after the other, though its node knew from those before that none comes. Once a turn has
- * waited in vain, the others are told at once, and one in a while tries for all.
+ * Circuit breaker for requests that need a quorum of the store VMs. After a request has timed out, further ones fail
+ * immediately, except for periodic probes, until one succeeds.
  */
 final class QuorumHealth {
-    /** Pause between turns that try: a quorum that is back is noticed within it. */
+    /** Minimum time between probes while the circuit is open. */
     private static final Duration PROBE_PAUSE = Duration.ofMillis(100);
 
     private final LongSupplier nanos;
@@ -22,7 +21,7 @@
         this.answeredNanos = nanos.getAsLong();
     }
 
-    /** Whether a turn may try; it is the one that tries for all while none is answered. */
+    /** Returns true if a request may proceed; while the circuit is open, that request is the probe. */
     boolean mayTry() {
         long now = nanos.getAsLong();
         if (silent && now - probedNanos < PROBE_PAUSE.toNanos()) {
@@ -32,7 +31,7 @@
         return true;
     }
 
-    /** Notes that a quorum answered; gives whether that is news. */
+    /** Records that a quorum answered; returns true if this closed the circuit. */
     boolean answered() {
         answeredNanos = nanos.getAsLong();
         boolean news = silent;
@@ -40,7 +39,10 @@
         return news;
     }
 
-    /** Notes that a try that began at a moment waited in vain; gives whether that is news. */
+    /**
+     * Records the failure of a request that started at the given time; returns true if this opened the circuit. Ignores
+     * requests that started before the last success.
+     */
     boolean waitedInVain(long begunNanos) {
         boolean outdated = begunNanos - answeredNanos < 0;
         boolean news = !silent && !outdated;
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/RecordFrames.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/RecordFrames.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 import java.util.zip.CRC32C;
 
-/** Frames on disk: length, checksum, bytes. A torn or half-written frame is told by its checksum. */
+/** Frames of records on disk: length, CRC-32C checksum, payload. The checksum detects partially written frames. */
 final class RecordFrames {
     private static final int HEAD = 8;
     private static final int MAX_BYTES = 32 << 20;
@@ -19,7 +19,7 @@
                 .flip();
     }
 
-    /** Reads frames up to the first that is not whole; gives the number of bytes read. */
+    /** Reads frames up to the first that is incomplete or corrupt; returns the number of bytes of valid frames. */
     static int read(byte[] file, Consumer<byte[]> frames) {
         ByteBuffer buffer = ByteBuffer.wrap(file);
         int good = 0;
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaCalls.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaCalls.java
@@ -18,30 +18,30 @@
 import org.parsleydrift.kernel.codec.MessagePackFrames;
 
 /**
- * Requests to store VMs and their replies, over frames. Confined to one loop. A request without a reply in its time
- * fails and resets the connection, since a connection may go silent for good while new ones work.
+ * Exchanges requests and replies with store VMs over frames. Confined to one event loop. A request that times out resets
+ * the connection, since an established connection may be dead while new ones can be opened.
  *
- * <p>An entry node may be cut off from the store VMs while its peers reach them: its callers' turns would all be refused.
- * After a request without a reply the next ones go by way of a peer, and now and then one goes directly as well, to find
- * out whether the path is whole again.
+ * <p>After a direct request has timed out, further requests to the same address are relayed through a peer, so that an entry
+ * node that is partitioned from the store VMs can still serve turns. Periodic probes are sent directly as well, to detect
+ * when the path is restored.
  */
 public final class ReplicaCalls {
     private static final Logger LOG = System.getLogger(ReplicaCalls.class.getName());
-    /** How often a path that gave no reply is tried again beside the way over a peer. */
+    /** Time between direct probes of a broken path. */
     private static final Duration PROBE_PERIOD = Duration.ofMillis(500);
 
-    /** Weight of the newest latency in the running mean: some ten reads settle it. */
+    /** Weight of the newest sample in the exponentially weighted mean latency. */
     private static final double LATENCY_WEIGHT = 0.1;
 
     private static final byte REQUEST = 1;
     private static final byte REPLY = 2;
-    /** Asks a peer to hand a request on to a store VM. */
+    /** A request that the receiving peer relays to a store VM. */
     private static final byte HAND_ON = 3;
-    /** A request that came over a peer; the reply goes back the same way. */
+    /** A request relayed by a peer, to which the reply is returned. */
     private static final byte HANDED_ON = 4;
-    /** Asks a peer to hand a reply back to who asked. */
+    /** A reply that the receiving peer relays to the requester. */
     private static final byte HAND_BACK = 5;
-    /** A reply that came over a peer. */
+    /** A reply relayed by a peer. */
     private static final byte HANDED_BACK = 6;
 
     private final EventLoop loop;
@@ -55,12 +55,12 @@
     private long lastCorrelation;
 
     /**
-     * Makes calls.
+     * Creates an endpoint.
      *
-     * @param loop the loop that owns them
-     * @param frames carries frames
+     * @param loop the event loop that all methods are called on
+     * @param frames sends the frames
      * @param ownAddress the address that replies are sent to
-     * @param handler answers requests of others
+     * @param handler answers the requests that this endpoint receives
      */
     public ReplicaCalls(EventLoop loop, FrameSender frames, String ownAddress, Handler handler) {
         this.loop = loop;
@@ -69,54 +69,54 @@
         this.handler = handler;
     }
 
-    /** Answers requests; the reply may come later. */
+    /** Answers received requests. */
     public interface Handler {
         /**
          * Answers a request.
          *
          * @param request the request
-         * @return the reply
+         * @return completes with the reply; if it fails, no reply is sent
          */
         CompletableFuture<ReplicaReply> handle(ReplicaRequest request);
     }
 
     /**
-     * Says how to find a peer that reaches the store VMs.
+     * Sets how to find a peer that can relay requests to the store VMs.
      *
-     * @param finder gives the address of such a peer, if there is one
+     * @param finder returns the address of such a peer, or empty if there is none
      */
     public void overPeers(Supplier<Optional<String>> finder) {
         peer = finder;
     }
 
     /**
-     * Whether the last direct request to an address was answered, or none was made yet.
+     * Whether the direct path to an address works as far as known.
      *
-     * @param address the address
-     * @return false after a request without a reply
+     * @param address the address of a store VM
+     * @return false from a timeout of a request until the next direct reply
      */
     public boolean reaches(String address) {
         return !brokenSinceProbe.containsKey(address);
     }
 
     /**
-     * How long a store VM has taken to answer reads of late. Reads don't wait for a disk, so those of the node's own
-     * availability zone take least.
+     * Returns the mean latency of recent reads from a store VM. Reads do not wait for the disk, so the value reflects the
+     * network distance.
      *
-     * @param address the address
-     * @return a running mean, ns; 0 if it was not asked yet
+     * @param address the address of the store VM
+     * @return an exponentially weighted mean in ns; 0 if no read was answered yet
      */
     double readLatencyNanos(String address) {
         return readNanos.getOrDefault(address, 0.0);
     }
 
     /**
-     * Asks a store VM.
+     * Sends a request to a store VM.
      *
-     * @param address its address
+     * @param address the address of the store VM
      * @param request the request
      * @param patience how long to wait for the reply
-     * @return the reply; fails with StepException
+     * @return completes with the reply, or with a StepException on a timeout
      */
     public CompletableFuture<ReplicaReply> ask(String address, ReplicaRequest request, Duration patience) {
         long correlation = ++lastCorrelation;
@@ -140,10 +140,10 @@
     }
 
     /**
-     * Takes in a frame.
+     * Handles a received frame.
      *
-     * @param frame its bytes
-     * @throws StepException if it is none of ours
+     * @param frame the bytes of the frame
+     * @throws StepException if the frame is malformed or of an unknown type
      */
     public void receive(byte[] frame) {
         MessagePackFrames.decode(frame, in -> {
@@ -249,7 +249,7 @@
 
     private void answer(String to, Optional<String> via, long correlation, ReplicaReply reply, Throwable failure) {
         if (failure != null) {
-            // The asker waits out its time and asks again; the line says why.
+            // No reply is sent; the requester times out and retries.
             LOG.log(
                     Logger.Level.WARNING,
                     () -> LogLine.of("store_request_failed")
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaReply.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaReply.java
@@ -2,17 +2,17 @@
 
 import java.util.List;
 
-/** What a store VM answers. */
+/** A reply of a store VM. */
 public sealed interface ReplicaReply {
     /** The write is on disk. */
     record Written() implements ReplicaReply {}
 
     /**
-     * What the member holds.
+     * The requested records that the member holds.
      *
-     * @param grants the program's grants
-     * @param turns turns of the chain, as far as the member holds them and their texts were asked for
-     * @param turnIds ids of all turns of the chain that it holds
+     * @param grants the grants of the program, in no order
+     * @param turns the turns found; empty if only their IDs were requested
+     * @param turnIds the IDs of the turns found
      */
     record Found(List<Grant> grants, List<Turn> turns, List<String> turnIds) implements ReplicaReply {
         static Found of(List<Grant> grants, List<Turn> turns) {
@@ -21,33 +21,33 @@
     }
 
     /**
-     * The sender's epoch is over.
+     * Rejects a request of an earlier epoch than the member has adopted.
      *
      * @param set the newer set
      */
     record Stale(StoreSet set) implements ReplicaReply {}
 
-    /** The member has not adopted the sender's epoch yet. */
+    /** Rejects a request of an epoch that the member has not adopted yet. */
     record Behind() implements ReplicaReply {}
 
-    /** The member has not yet taken over what was written before; it can't say what there is. */
+    /** Rejects a request because the member does not hold all committed records of earlier epochs. */
     record Incomplete() implements ReplicaReply {}
 
     /**
-     * Keys of all that the member holds.
+     * Lists all records that the member holds.
      *
-     * @param turns ids of turns
-     * @param grants grants
+     * @param turns the IDs of its turns
+     * @param grants its grants
      */
     record Keys(List<String> turns, List<Grant> grants) implements ReplicaReply {}
 
     /**
-     * How far the member is.
+     * The epochs that the member has adopted and completed.
      *
-     * @param name the VM's name
-     * @param disk the id of its data
+     * @param name the VM name
+     * @param disk the random ID of the data on its disk
      * @param adoptedEpoch the epoch that it has adopted; 0 for none
-     * @param completeEpoch the epoch up to which it holds all that was written before it
+     * @param completeEpoch the latest epoch at which it held all committed records of earlier epochs; 0 for none
      */
     record Progress(String name, String disk, long adoptedEpoch, long completeEpoch) implements ReplicaReply {}
 }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaRequest.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaRequest.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What is asked of a store VM. */
+/** A request to a store VM. */
 public sealed interface ReplicaRequest {
     /**
-     * Keeps grants and a turn; answered once they are on disk.
+     * Stores grants and a turn; answered once they are on disk.
      *
-     * @param epoch the sender's epoch
-     * @param keepMillis how long they are needed, ms
+     * @param epoch the epoch of the sender
+     * @param keepMillis the retention period in ms
      * @param grants the grants
      * @param turn the turn, if there is one
      */
@@ -18,31 +18,32 @@
     /**
      * Reads a program's grants and the chain that ends with a turn.
      *
-     * @param epoch the sender's epoch
+     * @param epoch the epoch of the sender
      * @param program the program; empty for none
-     * @param lastTurn the last turn of the chain; empty for none
-     * @param texts whether what was said is wanted too, or only which turns there are
+     * @param lastTurn the ID of the last turn of the chain; empty for none
+     * @param texts whether to return the turns with their text rather than only their IDs
      */
     record Read(long epoch, String program, String lastTurn, boolean texts) implements ReplicaRequest {}
 
     /**
-     * Reads single turns, whatever the epoch: a turn that is there is right.
+     * Reads single turns. Valid at every epoch, since turns are immutable.
      *
-     * @param turns their ids
+     * @param turns the IDs of the turns
      */
     record Fetch(List<String> turns) implements ReplicaRequest {}
 
     /**
-     * Asks for the keys of all that is held, to take it over into a new epoch.
+     * Requests a list of all records, from which the sender synchronizes for a new epoch. The receiver adopts the set first,
+     * so that it accepts no further writes of earlier epochs.
      *
-     * @param set the new set
+     * @param set the set at the new epoch
      */
     record TakeOver(StoreSet set) implements ReplicaRequest {}
 
     /**
-     * Tells of a set and asks how far the member is.
+     * Heartbeat that may carry a newer set for the member to adopt; answered with {@link ReplicaReply.Progress}.
      *
-     * @param set the newest set that the sender knows, if any
+     * @param set the newest set known to the sender, or empty if the member already has it
      */
     record Tell(Optional<StoreSet> set) implements ReplicaRequest {}
 }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaState.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaState.java
@@ -5,11 +5,11 @@
 import org.parsleydrift.kernel.codec.MessagePackFrames;
 
 /**
- * What a store VM knows of itself across restarts.
+ * The state of a store VM that persists across restarts.
  *
- * @param disk the random id of its data
+ * @param disk the random ID of the data on its disk
  * @param adopted the newest set that it has adopted, if any
- * @param completeEpoch the epoch up to which it holds all that was written before it; 0 for none
+ * @param completeEpoch the latest epoch at which it held all committed records of earlier epochs; 0 for none
  */
 record ReplicaState(String disk, Optional<StoreSet> adopted, long completeEpoch) {
     long adoptedEpoch() {
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/SetChange.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/SetChange.java
@@ -7,22 +7,22 @@
 import java.util.stream.Stream;
 
 /**
- * Decides how the set of store VMs should change. Pure; every store VM decides by itself and writes under a condition,
- * so two that decide at once never both succeed.
+ * Decides how the membership of the store set should change. Stateless. Each store VM decides independently and writes
+ * its decision conditionally on the revision that it read, so only one of several concurrent changes succeeds.
  */
 final class SetChange {
     private SetChange() {}
 
     /**
-     * What a store VM knows.
+     * The state of the store set as seen by one store VM.
      *
      * @param self this VM as a member
-     * @param set the set in force
-     * @param completeMembers ids of disks that are complete at the set's epoch
-     * @param silentLong ids of disks of members that have not answered for long
-     * @param retiring names of VMs that are to be emptied
-     * @param toleratedLosses disks that may be lost at once
-     * @param mostMembers members beyond which a VM stands by
+     * @param set the current set
+     * @param completeMembers disk IDs of the members that are complete at the set's epoch
+     * @param silentLong disk IDs of the members that have not answered within the failure timeout
+     * @param retiring names of the VMs that are being retired
+     * @param toleratedLosses number of disks that may be lost at once
+     * @param mostMembers maximum size of the set; further VMs are standbys
      */
     record View(
             StoreMember self,
@@ -32,15 +32,15 @@
             Set<String> retiring,
             int toleratedLosses,
             int mostMembers) {
-        /** Members wanted at least: a majority of them is left when as many disks as may be are lost at once. */
+        /** The smallest size at which a majority remains after the tolerated number of losses. */
         private int wanted() {
             return 2 * toleratedLosses + 1;
         }
     }
 
-    /** The set that this VM should write now, if any. */
+    /** Returns the set that this VM should write now, or empty if no change is due. */
     static Optional<StoreSet> decide(View view) {
-        // The next set takes over from as many complete members of this one; with fewer it could never become complete.
+        // The next epoch's members synchronize from a read quorum of complete members; else they never complete.
         boolean canBeTakenOver =
                 view.completeMembers().size() >= Math.max(1, view.set().readQuorum());
         if (!canBeTakenOver) {
@@ -50,7 +50,10 @@
         return member ? maintain(view) : join(view);
     }
 
-    /** A VM comes in anew, in the place of a member that is gone or is to go, or where members are wanted. */
+    /**
+     * Adds this VM: in place of its own former disk, in place of an unresponsive or retiring member, or as a further member
+     * if the set is below its maximum size.
+     */
     private static Optional<StoreSet> join(View view) {
         StoreMember self = view.self();
         if (view.retiring().contains(self.name())) {
@@ -86,16 +89,16 @@
     }
 
     /**
-     * Members leave that are to be emptied, or that are silent for long where that helps: of more than are wanted, or of an
-     * even number, which bears no more losses than one member less does; of two neither can write without the other. Of
-     * three or another odd number up to those wanted a silent one stays, since the rest go on without it.
+     * Removes one retiring or unresponsive member. An unresponsive member is removed only if the set is larger than its
+     * target size or has an even number of members, which tolerates no more losses than one member fewer. At an odd size
+     * up to the target size it stays, since the remaining members still form a quorum.
      */
     private static Optional<StoreSet> maintain(View view) {
         if (!leads(view)) {
             return Optional.empty();
         }
         List<StoreMember> members = view.set().members();
-        // Its records must lie on more disks than may be lost before it may go.
+        // A member may leave only if the remaining copies outnumber the tolerated losses.
         boolean enoughOthers = members.size() - 1 > view.toleratedLosses();
         boolean silentLeave = members.size() % 2 == 0 || members.size() > view.wanted();
         Optional<StoreMember> leaves = members.stream()
@@ -112,8 +115,8 @@
     }
 
     /**
-     * One member acts, so that conditional writes rarely meet: the first complete one that neither leaves nor is silent. If
-     * a silent one counted, a set whose first member is gone would never change, and no retirement would be reported.
+     * Whether this VM coordinates changes, which it does as the first complete member that is neither retiring nor
+     * unresponsive. A single coordinator avoids conflicting conditional writes.
      */
     static boolean leads(View view) {
         return view.set().members().stream()
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/SpentPrograms.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/SpentPrograms.java
@@ -4,12 +4,11 @@
 import java.util.Map;
 
 /**
- * What programs have surely generated, as far as this node has read it. Tokens of turns that ended whole are never given
- * back, so a turn that does not fit beside them can be refused without asking the store VMs. Load pattern: programs that
- * loop send turns again and again after their budget is spent; each cost a write, a read and a release at three VMs.
+ * Cache of the settled tokens of programs, as last read by this node. Settled tokens are never returned to the budget, so a
+ * turn that does not fit beside them can be refused without requests to the store VMs.
  */
 final class SpentPrograms {
-    /** Programs remembered; some 100 bytes each. */
+    /** Maximum number of cached programs. */
     private static final int MOST = 4096;
 
     private final Map<String, Integer> settled = new LinkedHashMap<>() {
@@ -21,14 +20,14 @@
         }
     };
 
-    /** Notes tokens of a program's turns that ended whole. */
+    /** Records the sum of a program's settled tokens. */
     void settled(String program, int tokens) {
         if (!program.isEmpty()) {
             settled.merge(program, tokens, Math::max);
         }
     }
 
-    /** Tokens that the program has generated at least. */
+    /** Returns a lower bound of the tokens that a program has generated. */
     int atLeast(String program) {
         return settled.getOrDefault(program, 0);
     }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreMember.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreMember.java
@@ -1,11 +1,11 @@
 package org.parsleydrift.conversation;
 
 /**
- * A store VM as a member of the set. An emptied disk makes another member of the same VM, since what the old one
- * acknowledged is not there any more.
+ * A store VM as a member of the store set. The disk ID identifies the member: a VM that restarts with an empty disk is a
+ * different member, because the records that it acknowledged before are lost.
  *
- * @param name the VM's name
- * @param disk the random id of the data on its disk
- * @param address its address for other processes of the system
+ * @param name the VM name
+ * @param disk the random ID of the data on its disk
+ * @param address the address at which other processes reach it
  */
 public record StoreMember(String name, String disk, String address) {}
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSet.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSet.java
@@ -4,63 +4,63 @@
 import java.util.Optional;
 
 /**
- * The VMs that keep conversations, at one epoch. A write counts once {@link #writeQuorum} members have it on disk; a
- * read needs {@link #readQuorum} members that hold all that was written in earlier epochs, so that each read meets each
- * write that counts. A member takes no writes of an epoch before the one that it has adopted.
+ * The VMs that replicate conversations at one epoch. A write is committed once {@link #writeQuorum} members have it on
+ * disk. A read needs {@link #readQuorum} members that hold all committed writes of earlier epochs, so that every read
+ * quorum intersects every write quorum. A member rejects writes of epochs before the one that it has adopted.
  *
- * @param epoch grows by one with each change of the set
- * @param members the members
- * @param previous the members at the epoch before, from which the present ones take over what was written
+ * @param epoch the configuration epoch, incremented by each change of the set
+ * @param members the members at this epoch
+ * @param previous the members at the preceding epoch, from which this epoch's members synchronize
  */
 public record StoreSet(long epoch, List<StoreMember> members, List<StoreMember> previous) {
-    /** Copies the lists. */
+    /** Makes immutable copies of the lists. */
     public StoreSet {
         members = List.copyOf(members);
         previous = List.copyOf(previous);
     }
 
     /**
-     * Members that must have a write.
+     * Returns the number of members that must persist a write.
      *
-     * @return a majority
+     * @return a majority of the members
      */
     public int writeQuorum() {
         return members.size() / 2 + 1;
     }
 
     /**
-     * Members that must answer a read.
+     * Returns the number of members that must answer a read.
      *
-     * @return the least number that meets every write quorum
+     * @return the smallest number that intersects every write quorum
      */
     public int readQuorum() {
         return readQuorum(members.size());
     }
 
     /**
-     * Members of the previous epoch from which a member must take over.
+     * Returns the number of previous members from which a member must synchronize.
      *
-     * @return the least number that meets every write quorum of that epoch
+     * @return the smallest number that intersects every write quorum of the preceding epoch; 0 if there was none
      */
     public int takeOverQuorum() {
         return readQuorum(previous.size());
     }
 
     /**
-     * The member whose data has an id.
+     * Finds a member by its disk ID.
      *
-     * @param disk the id
-     * @return the member, if there is one
+     * @param disk the disk ID
+     * @return the member, or empty if none has this disk ID
      */
     public Optional<StoreMember> byDisk(String disk) {
         return members.stream().filter(each -> each.disk().equals(disk)).findAny();
     }
 
     /**
-     * The set that follows this one.
+     * Creates the successor of this set.
      *
-     * @param next its members
-     * @return the set at the next epoch
+     * @param next the members of the successor
+     * @return the set at the next epoch, with this set's members as the previous ones
      */
     public StoreSet change(List<StoreMember> next) {
         return new StoreSet(epoch + 1, next, members);
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetJson.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetJson.java
@@ -11,17 +11,17 @@
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 
-/** The set of store VMs as JSON: {"epoch": 3, "members": [{"name", "disk", "address"}], "previous": [..]}. */
+/** Converts store sets to and from JSON: {"epoch": 3, "members": [{"name", "disk", "address"}], "previous": [..]}. */
 public final class StoreSetJson {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private StoreSetJson() {}
 
     /**
-     * Writes a set.
+     * Serializes a store set.
      *
-     * @param set the set
-     * @return JSON
+     * @param set the store set
+     * @return JSON in UTF-8
      */
     public static byte[] write(StoreSet set) {
         ObjectNode root = MAPPER.createObjectNode().put("epoch", set.epoch());
@@ -31,11 +31,11 @@
     }
 
     /**
-     * Reads a set.
+     * Parses a store set.
      *
-     * @param json JSON
-     * @return the set
-     * @throws StepException if it is none
+     * @param json JSON in UTF-8
+     * @return the store set
+     * @throws StepException if the JSON is malformed, lacks a field, has a non-integer epoch or no members
      */
     public static StoreSet read(byte[] json) {
         try {
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetKeeper.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetKeeper.java
@@ -19,28 +19,24 @@
 import org.parsleydrift.registry.SharedObjects;
 
 /**
- * Keeps the set of store VMs in step with the VMs that live, from one store VM. The set is one shared object, changed
- * under a condition; members are told directly, so that a change needs no watch to arrive.
+ * Reconciles the membership of the store set with the store VMs that are alive; runs on each store VM. The set is a single
+ * shared object that is updated conditionally. Members are also sent a new set directly and need not watch the object.
  */
 public final class StoreSetKeeper {
     private static final Logger LOG = System.getLogger(StoreSetKeeper.class.getName());
-    /** Name of the one object of its kind. */
+    /** Name of the shared object that holds the set. */
     public static final String SET_NAME = "set";
 
-    /** Period of asking the members how far they are, ms. */
     private static final Duration ROUND = Duration.ofMillis(150);
-    /** Patience with a member, ms; less than a round would take a slow sync for a death. */
+    /** Long enough that a slow fsync is not mistaken for a failed member. */
     private static final Duration PATIENCE = Duration.ofMillis(400);
-    /**
-     * A member silent for this long may be replaced, ms: longer than a restart of a process (a second), and short enough
-     * that a replacement counts again before the next disk may be lost.
-     */
+    /** Time without a reply after which a member may be replaced; longer than a process restart. */
     static final Duration SILENT_LONG = Duration.ofMillis(1500);
-    /** The same for the other one of two, ms: no turn begins or ends meanwhile, and a mistake costs one more change. */
+    /** Failure timeout in a set of two, which is shorter because the remaining member has no quorum. */
     private static final Duration SILENT_OF_TWO = Duration.ofMillis(700);
-    /** One round in so many asks the members of a large set while all of them are complete. */
+    /** Rounds per poll of a large set while all of its members are complete. */
     private static final int QUIET_ROUNDS = 2;
-    /** The same for a VM that stands by: a silent member is missed three times in its limit. */
+    /** Rounds per poll on a standby VM while all members are complete. */
     private static final int STANDBY_ROUNDS = 3;
 
     private final EventLoop loop;
@@ -64,17 +60,17 @@
     private Consumer<Boolean> watching = follows -> {};
 
     /**
-     * Makes a keeper.
+     * Creates a controller for one store VM.
      *
-     * @param loop its loop
-     * @param objects the shared objects
-     * @param replica the store role of this VM
-     * @param calls asks other members
-     * @param name this VM's name
-     * @param address this VM's address for other processes
-     * @param firstStart whether the whole system starts for the first time; only then may a set be made anew
-     * @param toleratedLosses disks that may be lost at once
-     * @param mostMembers members beyond which a VM stands by
+     * @param loop the event loop that all methods are called on
+     * @param objects the shared objects that hold the set
+     * @param replica the replica on this VM
+     * @param calls the connection to the other members
+     * @param name the name of this VM
+     * @param address the address at which other processes reach this VM
+     * @param firstStart whether the system starts for the first time; only then an initial set may be created
+     * @param toleratedLosses number of disks that may be lost at once
+     * @param mostMembers maximum size of the set; further VMs are standbys
      */
     public StoreSetKeeper(
             EventLoop loop,
@@ -97,15 +93,15 @@
         this.mostMembers = mostMembers;
     }
 
-    /** Begins the rounds. */
+    /** Starts the periodic reconciliation. */
     public void start() {
         loop.every(ROUND, this::round);
     }
 
     /**
-     * Takes in news of the set's object.
+     * Handles changes of the shared object that holds the set.
      *
-     * @param news changed objects
+     * @param news the changed objects
      */
     public void setChanged(List<SharedObject> news) {
         listed = true;
@@ -113,9 +109,9 @@
     }
 
     /**
-     * Takes in news of retirements.
+     * Handles requested and withdrawn retirements of VMs.
      *
-     * @param news changed objects
+     * @param news the changed objects
      */
     public void retirementsChanged(List<SharedObject> news) {
         news.forEach(each -> {
@@ -152,10 +148,10 @@
     }
 
     /**
-     * Says who is told, in each round, whether this VM should watch the platform for the set. Two members do so for all: the
-     * others learn from the one that acts that there is a newer set.
+     * Sets the listener that is called in each round with whether this VM should watch the shared object. Only a few members
+     * watch it; the others receive new sets from the coordinator.
      *
-     * @param follows is told
+     * @param follows the listener
      */
     public void onWatching(Consumer<Boolean> follows) {
         watching = follows;
@@ -199,10 +195,7 @@
         return set.members().stream().map(StoreMember::disk).filter(wanted).collect(Collectors.toSet());
     }
 
-    /**
-     * A quiet set is asked in every other round only: a silent member is then still missed five times in its limit. VMs that
-     * stand by ask less often yet: they are many, and each asks every member.
-     */
+    /** Polls the members: less often while all are complete, and least often on standbys, which poll every member. */
     private void askMembersInTurn(StoreSet set) {
         rounds++;
         boolean quiet = set.members().stream().allMatch(each -> members.complete(each.disk(), set.epoch()));
@@ -217,7 +210,7 @@
     private void askMembers(StoreSet set) {
         long now = loop.clock().nanos();
         members.asked(set, replica.disk(), retiring, now).forEach(each -> {
-            // One that is complete at this epoch has adopted the set; it need not be told again.
+            // A member that is complete at this epoch already has the set.
             Optional<StoreSet> told = members.complete(each.disk(), set.epoch()) ? Optional.empty() : newest;
             calls.ask(each.address(), new ReplicaRequest.Tell(told), PATIENCE).whenComplete((reply, failure) -> {
                 if (reply instanceof ReplicaReply.Progress progress) {
@@ -255,14 +248,14 @@
                 }));
     }
 
-    /** A VM that was away when the set changed is no member any more perhaps, and is told of no set by anybody. */
+    /** Reads the set if a member reports a newer epoch: a VM that was removed from the set is not sent the new one. */
     private void learnNewer(long epoch) {
         if (newest.filter(known -> known.epoch() < epoch).isPresent() && !refreshing) {
             refresh();
         }
     }
 
-    /** After a refused or unanswered write the object may have changed either way. */
+    /** Reads the shared object; after a failed write its state is unknown. */
     private void refresh() {
         refreshing = true;
         objects.list(ObjectKind.STORE_SET)
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Turn.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Turn.java
@@ -1,11 +1,11 @@
 package org.parsleydrift.conversation;
 
 /**
- * What was said in one turn. Immutable once written.
+ * The input and output of one turn of a conversation. Immutable once written.
  *
- * @param id the id of the request that made it
- * @param previous the turn that it goes on from; empty at the start of a chain
- * @param input what the caller sent
- * @param output the data of each event, each followed by a line feed
+ * @param id the ID of the request that produced it
+ * @param previous the ID of the preceding turn; empty at the start of a chain
+ * @param input the request body sent by the caller
+ * @param output the data of the response events, each followed by a line feed
  */
 public record Turn(String id, String previous, byte[] input, byte[] output) {}
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/FileDurableLogTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/FileDurableLogTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What is on disk after a process or a VM has ended at any point. */
+/** Recovery of the log after a crash. */
 public class FileDurableLogTest {
     private final ManualScheduler time = new ManualScheduler();
     private Path folder;
@@ -55,10 +55,7 @@
         }
     }
 
-    /**
-     * Symptom: a half record is read as one, or records after it are lost. Events: power goes while a record is written;
-     * the next life appends more. Cause: reading on past a torn frame, or appending behind it.
-     */
+    /** Guards against reading a torn record as valid, and against losing records that are appended after it. */
     @Test
     public void aTornEndIsCutAndLaterRecordsAreReadable() throws IOException {
         try (FileDurableLog log = new FileDurableLog(folder, time)) {
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/MemoryDurableLog.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/MemoryDurableLog.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.parsleydrift.kernel.EventLoop;
 
-/** A disk on virtual time: what was not synced is gone after a loss of power. */
+/** In-memory log on virtual time. Writes that were not synced are lost when the process restarts. */
 final class MemoryDurableLog implements DurableLog {
     private static final Duration SYNC = Duration.ofMillis(2);
 
@@ -16,7 +16,7 @@
     private EventLoop loop;
     private int life;
 
-    /** Opens the disk for a new process; whatever the former one had not synced is lost. */
+    /** Opens the log for a new process; pending writes of the previous one are lost. */
     void open(EventLoop newLoop) {
         loop = newLoop;
         life++;
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/NearestReadTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/NearestReadTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.testng.annotations.Test;
 
-/** Which store VMs a turn's beginning is read from. */
+/** Selection of the store VMs that are read at the beginning of a turn. */
 public class NearestReadTest {
     private static final int LONG_TEXT = 4000;
 
@@ -23,7 +23,7 @@
                 .chain().stream().map(turn -> new String(turn.input(), UTF_8)).reduce("", String::concat);
     }
 
-    /** What was said in a chain crosses zones once for each member that sends it; one copy is enough. */
+    /** Guards against transferring the text of a chain from more than one member. */
     @Test
     public void theTextsOfAChainComeFromOneMember() {
         StoreCluster cluster = StoreCluster.ofThree();
@@ -42,7 +42,7 @@
         assertEquals(long1.get(), 1);
     }
 
-    /** Each of the members in turn is silent: the others are asked soon, and the chain is whole. */
+    /** Guards against waiting for the request timeout when one of the nearest members does not answer. */
     @Test
     public void aSilentMemberCostsAFewMilliseconds() {
         for (String silent : new String[] {"a", "b", "c"}) {
@@ -58,10 +58,7 @@
         }
     }
 
-    /**
-     * Symptom: a turn that was kept is said not to exist. Events: the write of a turn reached two members of three; the
-     * nearest one, asked for the texts, is the third. Cause: only the nearest was believed.
-     */
+    /** Guards against denying a committed turn that the nearest member does not hold. */
     @Test
     public void aTurnThatTheNearestMemberLacksIsFoundAtTheOthers() {
         for (String lacking : new String[] {"a", "b", "c"}) {
@@ -78,7 +75,7 @@
         }
     }
 
-    /** Reservations that begin together still meet: each read needs a quorum, whoever is nearest. */
+    /** Guards against concurrent reservations that miss each other because each read asks the nearest member only. */
     @Test
     public void grantsAreJudgedOnAQuorum() {
         StoreCluster cluster = StoreCluster.ofThree();
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/OverPeersTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/OverPeersTest.java
@@ -6,12 +6,9 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** An entry node that is cut off from the store VMs. */
+/** Requests of an entry node that is partitioned from the store VMs. */
 public class OverPeersTest {
-    /**
-     * Symptom: all turns at some nodes are refused for as long as a cut lasts. Events: a node loses its paths to the
-     * store VMs, its peers keep theirs. Cause: it waits for the direct paths.
-     */
+    /** Guards against refusing all turns of a node that has lost its direct paths while its peers still have theirs. */
     @Test
     public void turnsBeginAndEndOverAPeer() {
         StoreCluster cluster = StoreCluster.ofThree();
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/QuorumHealthTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/QuorumHealthTest.java
@@ -6,17 +6,13 @@
 import java.util.concurrent.CompletableFuture;
 import org.testng.annotations.Test;
 
-/** What turns are told while too few store VMs answer. */
+/** Handling of turns while the store VMs have no quorum. */
 public class QuorumHealthTest {
     private static BeginResult begin(StoreCluster cluster, Conversations entry, String request) {
         return cluster.await(entry.begin(StoreCluster.begin("p", request, 1000, 10, "")));
     }
 
-    /**
-     * Callers were refused after 640 ms at the median, and after 1.6 s at the ninetieth percentile, for the eight seconds in
-     * which one of three store VMs had been replaced and another was cut off. Each turn found out by itself that no quorum
-     * answers, though its node had known for seconds.
-     */
+    /** Guards against each turn waiting for its own timeout while no quorum answers. */
     @Test
     public void aTurnIsRefusedAtOnceWhereTheOneBeforeWaitedInVain() {
         StoreCluster cluster = StoreCluster.ofThree();
@@ -34,7 +30,7 @@
         assertTrue(begin(cluster, entry, "q5") instanceof BeginResult.Granted);
     }
 
-    /** One turn that tries is enough to notice that the store VMs are back. */
+    /** Guards against turns being refused after the quorum has recovered. */
     @Test
     public void aQuorumThatIsBackIsNoticed() {
         StoreCluster cluster = StoreCluster.ofThree();
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/SetChangeTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/SetChangeTest.java
@@ -9,9 +9,9 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** When a member that is to be emptied may leave the set. */
+/** Decisions on retiring, joining and replaced members. */
 public class SetChangeTest {
-    /** A bound that no set here reaches. */
+    /** A maximum size that no set in this test reaches. */
     private static final int ANY = 100;
 
     private static Optional<Integer> membersAfterRetiringA(String... names) {
@@ -24,10 +24,7 @@
                 .map(next -> next.members().size());
     }
 
-    /**
-     * Symptom: no turn can begin any more, for good. Events: of two members one is to be emptied and leaves; then the
-     * other one's disk is lost. Cause: all records were left to a single disk.
-     */
+    /** Guards against leaving all records on a single disk when one of two members is retired. */
     @Test
     public void theOtherOfTwoIsNotLeftAlone() {
         assertEquals(membersAfterRetiringA("a", "b"), Optional.empty());
@@ -47,17 +44,14 @@
         return set.orElseThrow().members().stream().map(StoreMember::name).toList();
     }
 
-    /**
-     * Every store VM held every record, so a turn was written to ten disks where five are enough. A VM more than are wanted
-     * stands by, and is there when one is lost.
-     */
+    /** Guards against a set that grows beyond its maximum size and writes each turn to more disks than needed. */
     @Test
     public void oneMoreThanAreWantedStandsBy() {
         assertEquals(joined(Set.of(), Set.of()), Optional.empty());
         assertEquals(names(joined(Set.of("c"), Set.of())), List.of("a", "b", "d", "e", "f"));
     }
 
-    /** A VM that is to be emptied leaves as another one comes, so that the set bears as many losses meanwhile. */
+    /** Guards against a set that tolerates fewer losses while a member is retired. */
     @Test
     public void aStandbyTakesThePlaceOfAMemberThatIsToBeEmptied() {
         assertEquals(names(joined(Set.of(), Set.of("b"))), List.of("a", "c", "d", "e", "f"));
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StandbyTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StandbyTest.java
@@ -13,11 +13,11 @@
 import org.parsleydrift.registry.ObjectKind;
 import org.testng.annotations.Test;
 
-/** Store VMs beyond those of the set, which take the place of members that are lost. */
+/** Standby store VMs, which replace lost members of the set. */
 public class StandbyTest {
     private static final int TOLERATED = 2;
     private static final int WANTED = 2 * TOLERATED + 1;
-    /** From the loss of a member to as many complete copies as before. */
+    /** Time within which a lost member is replaced by a complete one. */
     private static final Duration REPLACED = Duration.ofSeconds(3);
 
     private static final int SEEDS = 40;
@@ -54,11 +54,7 @@
         assertEquals(copies(cluster), WANTED);
     }
 
-    /**
-     * No turn could begin for eight seconds, and none at all after the day's last fault. One of three members was replaced
-     * and another one cut off; later two disks of the three were lost, and the third waited for ever for one more whole
-     * copy. Half of the store VMs ran, one fewer than the losses that were to be borne want.
-     */
+    /** Guards against a set that, after successive replacements, no longer tolerates the loss of two disks. */
     @Test
     public void twoDisksMayBeLostAfterMembersWereReplacedOneAfterTheOther() {
         StoreCluster cluster = ofNine();
@@ -98,8 +94,8 @@
     }
 
     /**
-     * A member is cut off, is gone for good while another VM comes, loses its disk, or is to be emptied, one after the other
-     * in any order; then power fails everywhere, with as many disks as may be lost. What was answered is still there.
+     * Guards against the loss of committed turns when members are partitioned, replaced, wiped or retired in any order and a
+     * power failure then destroys the tolerated number of disks.
      */
     @Test
     public void nothingIsLostInAnyOrderOfLosses() {
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreCluster.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreCluster.java
@@ -20,7 +20,7 @@
 import org.parsleydrift.registry.SharedObject;
 import org.parsleydrift.standin.InMemorySharedObjects;
 
-/** Store VMs and entry nodes on virtual time, with links that can be cut and disks that can be lost. */
+/** Simulated store VMs and entry nodes on virtual time, with network partitions and disk losses. */
 final class StoreCluster {
     static final Duration RETENTION = Duration.ofSeconds(60);
     private static final Duration LINK = Duration.ofMillis(1);
@@ -39,7 +39,7 @@
     private int toleratedLosses = 1;
     private int mostMembers = Integer.MAX_VALUE;
 
-    /** A frame that a test holds back. */
+    /** A frame in transit, which a test may delay. */
     record Held(String from, String to, byte[] bytes) {}
 
     /** One store VM. */
@@ -94,30 +94,28 @@
         return store;
     }
 
-    /** The process starts again on the same disk. */
+    /** Restarts a store VM with its disk. */
     void restart(String name) {
         Store store = stores.get(name);
         store.die();
         store.boot(false);
     }
 
-    /** The process starts again with an empty disk. */
+    /** Restarts a store VM with an empty disk. */
     void wipe(String name) {
         stores.get(name).die();
         add(name, false);
     }
 
-    /** Starts a set of three. */
     static StoreCluster ofThree() {
         return of(List.of("a", "b", "c"));
     }
 
-    /** Starts a set of VMs with these names. */
     static StoreCluster of(List<String> names) {
         return of(names, 1);
     }
 
-    /** Starts a set of VMs of which some disks may be lost at once. */
+    /** Starts a set without a maximum size. */
     static StoreCluster of(List<String> names, int toleratedLosses) {
         StoreCluster cluster = new StoreCluster();
         cluster.toleratedLosses = toleratedLosses;
@@ -126,7 +124,7 @@
         return cluster;
     }
 
-    /** Starts a set that is kept at the least number of members that bears some losses; the other VMs stand by. */
+    /** Starts a set of the smallest size that tolerates the given losses; the other VMs are standbys. */
     static StoreCluster withStandbys(List<String> names, int toleratedLosses) {
         StoreCluster cluster = new StoreCluster();
         cluster.toleratedLosses = toleratedLosses;
@@ -136,7 +134,7 @@
         return cluster;
     }
 
-    /** Frames that were sent so far, those that were lost included. */
+    /** Returns the number of frames sent so far, including lost ones. */
     int sentFrames() {
         return sentFrames;
     }
@@ -145,7 +143,7 @@
         cut.add(name);
     }
 
-    /** Cuts an entry node off from all store VMs, but not from other entry nodes. */
+    /** Partitions an entry node from all store VMs, but not from other entry nodes. */
     void cutFromStores(String entry) {
         cutFromStores.add(entry);
     }
@@ -155,7 +153,7 @@
         cutFromStores.remove(name);
     }
 
-    /** Holds back frames until {@link #letGo}. */
+    /** Delays the frames that match until {@link #letGo}. */
     void hold(Predicate<Held> which) {
         holds = which;
     }
@@ -175,7 +173,7 @@
         return entry(name, Optional.empty());
     }
 
-    /** An entry node that may ask store VMs over a peer. */
+    /** Starts an entry node that may relay requests to store VMs through a peer. */
     Conversations entry(String name, Optional<String> peer) {
         ManualEventLoop loop = time.newLoop();
         ReplicaCalls calls = new ReplicaCalls(loop, sender(name), name, request -> new CompletableFuture<>());
@@ -191,7 +189,7 @@
                 program, request, OptionalInt.of(budget), most, previous, RETENTION, Duration.ofSeconds(1));
     }
 
-    /** Runs until a result is there. */
+    /** Advances the time until a future completes, for 5 s at most. */
     <T> T await(CompletableFuture<T> future) {
         for (int i = 0; i < 5000 && !future.isDone(); i++) {
             run(Duration.ofMillis(1));
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetAtScaleTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetAtScaleTest.java
@@ -10,11 +10,11 @@
 import org.parsleydrift.registry.ObjectKind;
 import org.testng.annotations.Test;
 
-/** Sets with many store VMs. */
+/** Polling and membership in large store sets. */
 public class StoreSetAtScaleTest {
     private static final int MEMBERS = 12;
     private static final Duration QUIET = Duration.ofSeconds(3);
-    /** Some 50 us of processor time a frame make one ms a VM and second. */
+    /** Bound on the frames per VM and second. */
     private static final int MOST_FRAMES_A_SECOND = 20;
 
     private static StoreCluster ofTwelve() {
@@ -32,10 +32,7 @@
                 .collect(Collectors.toList());
     }
 
-    /**
-     * Symptom: twelve store VMs that serve nothing use more processor time than the turns of a busy day. Events: none.
-     * Cause: each asks each other one how far it is, several times a second, and tells it the whole set each time.
-     */
+    /** Guards against polling between all pairs of members, whose cost grows with the square of the set size. */
     @Test
     public void aSetAtRestCostsFewFrames() {
         StoreCluster cluster = ofTwelve();
@@ -46,10 +43,7 @@
         assertTrue(sent <= most, sent + " frames of " + most);
     }
 
-    /**
-     * Symptom: a VM that is gone for good stays a member. Events: the members that others rely on to notice a silent one
-     * die, the first two of the set; then one of the others does. Cause: nobody asks the members any more.
-     */
+    /** Guards against a failure that goes undetected because the members that poll all others have failed too. */
     @Test
     public void silentMembersAreNoticedThoughTheFirstOnesAreGone() {
         StoreCluster cluster = ofTwelve();
@@ -60,10 +54,7 @@
         assertEquals(left.size(), MEMBERS - 3);
     }
 
-    /**
-     * Symptom: a member is dropped that was never silent. Events: the first member dies, so that the second asks all others,
-     * whom it has not asked for seconds. Cause: the time since their last answer is taken for silence.
-     */
+    /** Guards against a new coordinator that takes members for unresponsive because it did not poll them before. */
     @Test
     public void aMemberThatWasNotAskedIsNotSilent() {
         StoreCluster cluster = ofTwelve();
@@ -72,11 +63,7 @@
         assertEquals(members(cluster, "s05").size(), MEMBERS - 1);
     }
 
-    /**
-     * Symptom: an answered turn is gone. Events: of five members, two disks of which may be lost at once, two that hold a
-     * turn are cut off; they are back, and two of the others lose their disks together. Cause: the set shrank to three while
-     * two were silent, or the emptied ones counted again before they had copied.
-     */
+    /** Guards against losing a turn when two members are partitioned and two others lose their disks afterwards. */
     @Test
     public void aPairOfDisksLostAfterAPairWasCutOffLosesNothing() {
         StoreCluster cluster = StoreCluster.of(List.of("a", "b", "c", "d", "e"), 2);
@@ -93,7 +80,7 @@
         assertTrue(result instanceof BeginResult.Granted, result.toString());
     }
 
-    /** Symptom: records lie on two disks where two may be lost. Events: three of five VMs are to be emptied. */
+    /** Guards against retirements that leave no more copies than the tolerated losses. */
     @Test
     public void moreMembersStayThanDisksMayBeLost() {
         StoreCluster cluster = StoreCluster.of(List.of("a", "b", "c", "d", "e"), 2);
@@ -103,10 +90,7 @@
         assertEquals(members(cluster, "e").size(), 3);
     }
 
-    /**
-     * Symptom: a store VM stays outside the set for good. Events: one that doesn't watch the platform is cut off until it
-     * is dropped, and is back. Cause: nobody tells a VM that is no member of a newer set.
-     */
+    /** Guards against a removed member that never learns of the newer set and therefore does not rejoin. */
     @Test
     public void aMemberThatWasDroppedWhileAwayComesBack() {
         StoreCluster cluster = ofTwelve();
@@ -118,7 +102,7 @@
         assertEquals(members(cluster, "s05").size(), MEMBERS);
     }
 
-    /** Two members watch the platform for all; when they are gone, two others do. */
+    /** Guards against more watchers of the shared object than needed, and against having none after failures. */
     @Test
     public void twoMembersWatch() {
         StoreCluster cluster = ofTwelve();
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetTest.java
@@ -11,7 +11,7 @@
 import org.parsleydrift.registry.RetirementProgress;
 import org.testng.annotations.Test;
 
-/** Turns survive whatever the set of store VMs goes through. */
+/** Durability of committed turns across failures and changes of the store set. */
 public class StoreSetTest {
     private static final Duration CATCH_UP = Duration.ofSeconds(4);
 
@@ -24,7 +24,7 @@
         assertEquals(chain, List.of(inputs));
     }
 
-    /** Symptom: an acknowledged turn is gone. Events: all store VMs lose power at once. Cause: no sync before it counts. */
+    /** Guards against acknowledging writes before they are synced to disk. */
     @Test
     public void turnsSurviveALossOfPowerEverywhere() {
         StoreCluster cluster = StoreCluster.ofThree();
@@ -37,10 +37,7 @@
         assertChain(cluster, "t2", "one", "two");
     }
 
-    /**
-     * Symptom: "no such turn" of a turn that was answered. Events: c was cut off while the turn was kept at a and b; a's
-     * disk is emptied; b loses its disk later. Cause: a counts again before it has copied, or copies from c alone.
-     */
+    /** Guards against a wiped member that serves before it has synchronized, or that synchronizes from a stale member. */
     @Test
     public void twoDisksLostOneAfterTheOtherLoseNothing() {
         StoreCluster cluster = StoreCluster.ofThree();
@@ -58,7 +55,7 @@
         assertChain(cluster, "t1", "one");
     }
 
-    /** A member with an empty disk must not say that a turn does not exist while others can't be asked. */
+    /** Guards against a wiped member that denies a turn while the members that hold it are unreachable. */
     @Test
     public void anEmptyDiskNeverSaysNoSuchTurn() {
         StoreCluster cluster = StoreCluster.ofThree();
@@ -72,7 +69,7 @@
         assertTrue(result instanceof BeginResult.Unavailable, result.toString());
     }
 
-    /** A turn that nobody kept is denied on the word of a read quorum. */
+    /** Guards against reporting an unknown turn as unavailable although a read quorum answers. */
     @Test
     public void aTurnThatNeverWasIsDenied() {
         StoreCluster cluster = StoreCluster.ofThree();
@@ -80,7 +77,7 @@
         assertTrue(result instanceof BeginResult.NoSuchTurn, result.toString());
     }
 
-    /** A VM that is gone for good is replaced by one at another address; then another disk may be lost. */
+    /** Guards against the loss of turns when a disk is lost after a member was replaced by a VM at another address. */
     @Test
     public void aReplacedVmTakesThePlaceOfTheOneThatIsGone() {
         StoreCluster cluster = StoreCluster.ofThree();
@@ -98,10 +95,7 @@
         assertChain(cluster, "t1", "one");
     }
 
-    /**
-     * Symptom: turns are lost when a retired VM is taken away and another loses its disk right after. Cause: "complete"
-     * reported before the remaining members hold everything.
-     */
+    /** Guards against reporting a retirement as complete before the remaining members hold all records. */
     @Test
     public void aRetiredVmIsReportedOnlyOnceItsRecordsAreElsewhere() {
         StoreCluster cluster = StoreCluster.ofThree();
@@ -123,10 +117,7 @@
         assertChain(cluster, "t1", "one");
     }
 
-    /**
-     * Symptom: turns wait for ever. Events: one of three VMs is retired, then one of the other two loses its disk. Cause:
-     * the set of two changes only once both are complete, and the emptied one can become complete only by a change.
-     */
+    /** Guards against a deadlock in a set of two, where a wiped member becomes complete only through a set change. */
     @Test
     public void aDiskLostAfterARetirementIsTakenInAgain() {
         StoreCluster cluster = StoreCluster.ofThree();
@@ -144,7 +135,7 @@
         assertChain(cluster, "t2", "one", "two");
     }
 
-    /** Of two members one may be silent for long; the other goes on alone, and takes it in again. */
+    /** Guards against a set of two that cannot continue after the failure of one member, or re-admit it. */
     @Test
     public void theLastOfTwoGoesOnAlone() {
         StoreCluster cluster = StoreCluster.ofThree();
@@ -162,10 +153,7 @@
         assertChain(cluster, "t1", "one");
     }
 
-    /**
-     * Symptom: a turn that counts is on one disk only. Events: a VM comes back at its address with an empty disk and
-     * takes a write before the set knows it. Cause: its acknowledgement counts as that of the member it was.
-     */
+    /** Guards against a wiped VM that acknowledges writes at its old address before it is a member again. */
     @Test
     public void aVmThatIsNotAMemberAcknowledgesNothing() {
         StoreCluster cluster = StoreCluster.ofThree();
@@ -183,7 +171,7 @@
         assertFalse(written.isDone());
     }
 
-    /** A member that was frozen through a change of the set takes no write of the epoch it remembers. */
+    /** Guards against a member that was frozen during a change of the set and accepts writes of the old epoch. */
     @Test
     public void aMemberThatWakesInAnOldEpochDoesNotCountAlone() {
         StoreCluster cluster = StoreCluster.ofThree();
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/TokenBudgetTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/TokenBudgetTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The token budget of a program over nodes that begin its turns at the same time. */
+/** Enforcement of a program's token budget across entry nodes. */
 public class TokenBudgetTest {
     private static final int MOST = 100;
 
@@ -22,11 +22,7 @@
         return IntStream.range(0, 40).mapToObj(seed -> new Object[] {seed}).toArray(Object[][]::new);
     }
 
-    /**
-     * Symptom: a program generates more than its budget. Events: sub-agents begin turns at several nodes at once, and
-     * frames to the store VMs arrive in any order and some late. Cause: three reservations that each meet just one other
-     * (a sees 1 and 3, b 1 and 2, c 2 and 3) pass when each is judged on the replies to its write.
-     */
+    /** Guards against exceeding the budget by turns that begin concurrently on several nodes, with delayed frames. */
     @Test(dataProvider = "seeds")
     public void turnsThatBeginTogetherNeverPassTheBudget(int seed) {
         StoreCluster cluster = StoreCluster.ofThree();
@@ -49,7 +45,7 @@
         assertTrue(granted * MOST <= budget, granted + " granted of " + budget);
     }
 
-    /** Tokens of a turn that never ran are given back, else honest programs see a false "spent". */
+    /** Guards against counting the tokens of a turn that never ran. */
     @Test
     public void aReleasedReservationCountsNothing() {
         StoreCluster cluster = StoreCluster.ofThree();
@@ -61,7 +57,7 @@
         assertTrue(second instanceof BeginResult.Granted, second.toString());
     }
 
-    /** A turn that broke off counts at its most; one that ended whole counts what it generated. */
+    /** Guards against counting an interrupted turn with less than its maximum, or a settled one with more than its use. */
     @Test
     public void brokenOffTurnsCountAtTheirMost() {
         StoreCluster cluster = StoreCluster.ofThree();
@@ -82,10 +78,7 @@
         assertTrue(small instanceof BeginResult.Granted, small.toString());
     }
 
-    /**
-     * Symptom: store VMs are kept busy by programs whose budget is spent. Cause: each refusal costs a write, a read and
-     * a release. Once settled tokens alone leave no room, a node that has read so refuses by itself.
-     */
+    /** Guards against requests to the store VMs for programs whose settled tokens already use up the budget. */
     @Test
     public void aProgramThatIsSurelySpentCostsNoRequest() {
         StoreCluster cluster = StoreCluster.ofThree();
@@ -102,7 +95,7 @@
         assertTrue(!entry.begin(StoreCluster.begin("p", "r4", MOST, 10, "")).isDone());
     }
 
-    /** The ledger survives a loss of power and an emptied disk. */
+    /** Guards against losing reservations in a power failure combined with the loss of one disk. */
     @Test
     public void spentStaysSpentOverRestarts() {
         StoreCluster cluster = StoreCluster.ofThree();
