--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationClient.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationClient.java
@@ -201,7 +201,7 @@
         private final Set<StoreMember> asked = new HashSet<>();
         private final Map<String, ReplicaReply> good = new HashMap<>();
         private long epoch;
-        private String lastTrouble = "no store set known";
+        private String lastTrouble = "no store set is known yet";
 
         private QuorumCall(RequestAt request, Needed needed, boolean nearestFirst, Duration patience) {
             this.request = request;
@@ -215,7 +215,7 @@
             loop.schedule(
                     patience,
                     () -> done.completeExceptionally(new StepException(
-                            Step.COMMIT, "stores", good.size() + " of the quorum answered; last: " + lastTrouble)));
+                            Step.COMMIT, "stores", good.size() + " store VMs answered in time, fewer than a quorum; last error: " + lastTrouble)));
             begin();
         }
 
@@ -267,7 +267,7 @@
                 return;
             }
             if (failure != null) {
-                retry(target, member, whole, "no reply of " + member.name());
+                retry(target, member, whole, "no reply from " + member.name());
                 return;
             }
             switch (reply) {
@@ -279,9 +279,9 @@
                 }
                 case ReplicaReply.Behind ignored -> tell(target, member, whole);
                 case ReplicaReply.Incomplete ignored ->
-                    retry(target, member, whole, member.name() + " is not complete");
-                case ReplicaReply.Keys ignored -> retry(target, member, whole, "unexpected reply");
-                case ReplicaReply.Progress ignored -> retry(target, member, whole, "unexpected reply");
+                    retry(target, member, whole, member.name() + " has not synchronized yet");
+                case ReplicaReply.Keys ignored -> retry(target, member, whole, "unexpected reply of type Keys");
+                case ReplicaReply.Progress ignored -> retry(target, member, whole, "unexpected reply of type Progress");
             }
         }
 
@@ -294,7 +294,7 @@
 
         /** Sends the set to a member at an earlier epoch, which may be unable to read it from the platform. */
         private void tell(StoreSet target, StoreMember member, boolean whole) {
-            lastTrouble = member.name() + " is at an earlier epoch";
+            lastTrouble = member.name() + " has not adopted the current epoch yet";
             calls.ask(member.address(), new ReplicaRequest.Tell(Optional.of(target)), REPLY_PATIENCE)
                     .whenComplete((reply, failure) -> retry(target, member, whole, lastTrouble));
         }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationCodec.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationCodec.java
@@ -54,7 +54,7 @@
             case 3 -> new ReplicaRequest.Fetch(list(in, MessageUnpacker::unpackString));
             case 4 -> new ReplicaRequest.TakeOver(set(in));
             case 5 -> new ReplicaRequest.Tell(first(list(in, ConversationCodec::set)));
-            default -> throw new IOException("unknown request " + type);
+            default -> throw new IOException("unknown request type " + type);
         };
     }
 
@@ -102,7 +102,7 @@
             case 6 ->
                 new ReplicaReply.Keys(list(in, MessageUnpacker::unpackString), list(in, ConversationCodec::grant));
             case 7 -> new ReplicaReply.Progress(in.unpackString(), in.unpackString(), in.unpackLong(), in.unpackLong());
-            default -> throw new IOException("unknown reply " + type);
+            default -> throw new IOException("unknown reply type " + type);
         };
     }
 
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationReplica.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationReplica.java
@@ -62,7 +62,7 @@
                 () -> LogLine.of("store_opened")
                         .with("vm", name)
                         .with("disk", state.disk())
-                        .with("fresh", known.isEmpty())
+                        .with("new_disk", known.isEmpty())
                         .with("turns", held.size())
                         .with("adopted_epoch", state.adoptedEpoch())
                         .with("complete_epoch", state.completeEpoch())
@@ -240,7 +240,7 @@
                                 Logger.Level.INFO,
                                 () -> LogLine.of("store_complete")
                                         .with("epoch", set.epoch())
-                                        .with("taken_over", taken)
+                                        .with("synced_records", taken)
                                         .with("turns", held.size())
                                         .toString());
                     } else {
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Conversations.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Conversations.java
@@ -50,7 +50,7 @@
         }
         if (!health.mayTry()) {
             return CompletableFuture.completedFuture(
-                    new BeginResult.Unavailable("no quorum answered the turn that tried last"));
+                    new BeginResult.Unavailable("no quorum of the store VMs answered the latest request"));
         }
         long begunNanos = client.nanos();
         CompletableFuture<Void> reserved = begin.budget().isEmpty()
@@ -80,7 +80,7 @@
 
     private void storesAnswer() {
         if (health.answered()) {
-            LOG.log(Logger.Level.INFO, LogLine.of("stores_answer").toString());
+            LOG.log(Logger.Level.INFO, LogLine.of("store_quorum_restored").toString());
         }
     }
 
@@ -88,7 +88,7 @@
         if (health.waitedInVain(begunNanos)) {
             LOG.log(
                     Logger.Level.WARNING,
-                    LogLine.of("stores_silent").failure(failure).toString());
+                    LogLine.of("store_quorum_lost").failure(failure).toString());
         }
     }
 
@@ -130,7 +130,7 @@
                         // The reservation still counts with its maximum, so the budget is not exceeded.
                         LOG.log(
                                 Logger.Level.WARNING,
-                                () -> LogLine.of("grant_not_noted")
+                                () -> LogLine.of("grant_write_failed")
                                         .with("program", grant.program())
                                         .with("request", grant.request())
                                         .with("state", grant.state())
@@ -175,7 +175,7 @@
                 return mayFetch
                         ? fetchHole(begin, turns, settled, id)
                         : CompletableFuture.completedFuture(
-                                new BeginResult.Unavailable("turn " + id + " of the chain was not found"));
+                                new BeginResult.Unavailable("turn " + id + " of the chain was not found at a read quorum"));
             }
             chain.addFirst(turn);
             id = turn.previous();
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/FileDurableLog.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/FileDurableLog.java
@@ -63,7 +63,7 @@
             recover();
             begin();
         } catch (IOException fault) {
-            throw new StepException(Step.CONFIGURE, folder.toString(), "data folder unusable: " + fault);
+            throw new StepException(Step.CONFIGURE, folder.toString(), "cannot open data directory: " + fault);
         }
         disruptor = new Disruptor<>(
                 Slot::new,
@@ -130,7 +130,7 @@
     private void publish(Work work) {
         boolean taken = disruptor.getRingBuffer().tryPublishEvent((slot, sequence) -> slot.work = work);
         if (!taken) {
-            work.durable().completeExceptionally(new StepException(Step.COMMIT, "disk", "too much waits for the disk"));
+            work.durable().completeExceptionally(new StepException(Step.COMMIT, "disk", "disk write queue is full"));
         }
     }
 
@@ -152,7 +152,7 @@
             if (good < bytes.length) {
                 LOG.log(
                         Logger.Level.WARNING,
-                        LogLine.of("torn_end_cut")
+                        LogLine.of("torn_tail_ignored")
                                 .with("file", file.getFileName())
                                 .with("bytes", bytes.length - good)
                                 .toString());
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/GrantState.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/GrantState.java
@@ -25,6 +25,6 @@
         return Arrays.stream(values())
                 .filter(each -> each.code == code)
                 .findAny()
-                .orElseThrow(() -> new IllegalArgumentException("unknown grant state " + code));
+                .orElseThrow(() -> new IllegalArgumentException("unknown grant state code " + code));
     }
 }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/HeldRecords.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/HeldRecords.java
@@ -43,7 +43,7 @@
                 case TURN -> keep(ConversationCodec.turn(in), until);
                 case GRANT_WITHOUT_PART -> keep(ConversationCodec.grantWithoutPart(in), until);
                 case GRANT -> keep(ConversationCodec.grant(in), until);
-                default -> throw new IOException("unknown record " + type);
+                default -> throw new IOException("unknown record type " + type);
             }
             return null;
         });
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaCalls.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaCalls.java
@@ -155,7 +155,7 @@
                 case HANDED_ON -> takeHandedOn(in.unpackString(), bytes(in));
                 case HAND_BACK -> handBack(in.unpackString(), bytes(in));
                 case HANDED_BACK -> takeHandedBack(bytes(in));
-                default -> throw new IOException("unknown frame " + type);
+                default -> throw new IOException("unknown frame type " + type);
             }
             return null;
         });
@@ -177,7 +177,7 @@
         frames.reset(address);
         known.reply()
                 .completeExceptionally(
-                        new StepException(Step.COMMIT, address, "no reply in " + patience.toMillis() + " ms"));
+                        new StepException(Step.COMMIT, address, "no reply within " + patience.toMillis() + " ms"));
     }
 
     private boolean probeIsDue(String address) {
@@ -203,7 +203,7 @@
         if (direct && brokenSinceProbe.remove(from) != null) {
             LOG.log(
                     Logger.Level.INFO,
-                    () -> LogLine.of("store_path_whole").with("store", from).toString());
+                    () -> LogLine.of("store_path_restored").with("store", from).toString());
         }
         Waiting known = waiting.remove(correlation);
         if (known != null) {
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetJson.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetJson.java
@@ -42,14 +42,14 @@
             JsonNode root = MAPPER.readTree(json);
             if (!root.required("epoch").isIntegralNumber()
                     || root.path("members").isEmpty()) {
-                throw new IllegalArgumentException("epoch is no whole number, or there are no members");
+                throw new IllegalArgumentException("epoch must be an integer and members must not be empty");
             }
             return new StoreSet(
                     root.required("epoch").asLong(),
                     members(root.required("members")),
                     members(root.required("previous")));
         } catch (IOException | IllegalArgumentException fault) {
-            throw new StepException(Step.PARSE, "platform", "bad store set: " + fault.getMessage());
+            throw new StepException(Step.PARSE, "platform", "invalid store set: " + fault.getMessage());
         }
     }
 
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/NearestReadTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/NearestReadTest.java
@@ -86,6 +86,6 @@
         CompletableFuture<BeginResult> two = second.begin(StoreCluster.begin("p", "r2", 10, 10, ""));
         boolean both =
                 cluster.await(one) instanceof BeginResult.Granted && cluster.await(two) instanceof BeginResult.Granted;
-        assertTrue(!both, "two grants of a budget that holds one");
+        assertTrue(!both, "both turns were granted, but the budget covers only one");
     }
 }
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/OverPeersTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/OverPeersTest.java
@@ -23,7 +23,7 @@
         assertTrue(second instanceof BeginResult.Granted, second.toString());
         assertTrue(
                 cluster.time.nanos() - begun < Duration.ofMillis(30).toNanos(),
-                "known paths that are broken cost time");
+                "a turn waited for a direct path known to be broken");
         cluster.keepTurn(entry, "r2", "", "one", "x");
         cluster.heal("e");
         cluster.run(Duration.ofSeconds(1));
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StandbyTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StandbyTest.java
@@ -131,7 +131,7 @@
                 cluster.cut(name);
                 cluster.run(Duration.ofSeconds(2));
                 cluster.heal(name);
-                yield name + " was cut off";
+                yield name + " was partitioned";
             }
             case 1 -> {
                 cluster.stores.get(name).die();
@@ -144,7 +144,7 @@
             }
             default -> {
                 cluster.objects.write(ObjectKind.RETIREMENTS, name, new byte[] {'{', '}'});
-                yield name + " was to be emptied";
+                yield name + " was retired";
             }
         };
     }
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetTest.java
@@ -37,7 +37,7 @@
         assertChain(cluster, "t2", "one", "two");
     }
 
-    /** Guards against a wiped member that serves before it has synchronized, or that synchronizes from a stale member. */
+    /** Guards against a wiped member that serves before it has synchronized, or synchronizes from a stale one. */
     @Test
     public void twoDisksLostOneAfterTheOtherLoseNothing() {
         StoreCluster cluster = StoreCluster.ofThree();
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/TokenBudgetTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/TokenBudgetTest.java
@@ -57,7 +57,7 @@
         assertTrue(second instanceof BeginResult.Granted, second.toString());
     }
 
-    /** Guards against counting an interrupted turn with less than its maximum, or a settled one with more than its use. */
+    /** Guards against counting an interrupted turn below its maximum, or a settled one above its generated tokens. */
     @Test
     public void brokenOffTurnsCountAtTheirMost() {
         StoreCluster cluster = StoreCluster.ofThree();
