--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/BeginResult.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/BeginResult.java
@@ -15,10 +15,10 @@
     /**
      * The rest of the token budget is smaller than the maximum number of tokens of the turn.
      *
-     * @param counted the tokens already counted against the budget
-     * @param generated the part of these tokens that belongs to settled grants; the rest is reserved
+     * @param countedTokens the tokens already counted against the budget
+     * @param generatedTokens the part of these tokens that belongs to settled grants; the rest is reserved
      */
-    record Spent(int counted, int generated) implements BeginResult {}
+    record BudgetSpent(int countedTokens, int generatedTokens) implements BeginResult {}
 
     /** The preceding turn does not exist at any member of a read quorum. */
     record NoSuchTurn() implements BeginResult {}
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationClient.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationClient.java
@@ -71,7 +71,7 @@
      *
      * @return false if the paths to too many members are broken, or if no set is known
      */
-    public boolean reachesStores() {
+    public boolean hasReachableQuorum() {
         return set.filter(known -> known.members().stream()
                                 .filter(each -> calls.reaches(each.address()))
                                 .count()
@@ -174,7 +174,7 @@
             Map<String, Turn> turns = new HashMap<>();
             Set<String> turnIds = new HashSet<>();
             replies.stream().map(ReplicaReply.Found.class::cast).forEach(found -> {
-                found.grants().forEach(each -> grants.merge(each.request(), each, Grant::join));
+                found.grants().forEach(each -> grants.merge(each.request(), each, Grant::merge));
                 found.turns().forEach(each -> turns.put(each.id(), each));
                 turnIds.addAll(found.turnIds());
             });
@@ -215,7 +215,10 @@
             loop.schedule(
                     patience,
                     () -> done.completeExceptionally(new StepException(
-                            Step.COMMIT, "stores", good.size() + " store VMs answered in time, fewer than a quorum; last error: " + lastTrouble)));
+                            Step.COMMIT,
+                            "stores",
+                            good.size() + " store VMs answered in time, fewer than a quorum; last error: "
+                                    + lastTrouble)));
             begin();
         }
 
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Grant.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Grant.java
@@ -9,11 +9,17 @@
  * @param state the state of the grant
  * @param tokens the maximum number of tokens that the request may generate; once settled, the number it generated
  * @param runner the runner process that served the request; empty if unknown
- * @param part the ID of the last part of the request's prompt, which later turns extend; empty if unknown
- * @param partTokens the tokens cached on the runner up to and including the generated ones; 0 if unknown
+ * @param promptPart the ID of the last part of the request's prompt, which later turns extend; empty if unknown
+ * @param cachedTokens the tokens cached on the runner up to and including the generated ones; 0 if unknown
  */
 public record Grant(
-        String program, String request, GrantState state, int tokens, String runner, String part, int partTokens) {
+        String program,
+        String request,
+        GrantState state,
+        int tokens,
+        String runner,
+        String promptPart,
+        int cachedTokens) {
     /**
      * Creates a grant without information on the cached prompt prefix.
      *
@@ -33,7 +39,7 @@
      * @param other the other replica
      * @return the one with the later state; this one if the states are equal
      */
-    public Grant join(Grant other) {
+    public Grant merge(Grant other) {
         return other.laterThan(this) ? other : this;
     }
 
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaCalls.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaCalls.java
@@ -85,7 +85,7 @@
      *
      * @param finder returns the address of such a peer, or empty if there is none
      */
-    public void overPeers(Supplier<Optional<String>> finder) {
+    public void setRelayFinder(Supplier<Optional<String>> finder) {
         peer = finder;
     }
 
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetKeeper.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetController.java
@@ -22,8 +22,8 @@
  * Reconciles the membership of the store set with the store VMs that are alive; runs on each store VM. The set is a single
  * shared object that is updated conditionally. Members are also sent a new set directly and need not watch the object.
  */
-public final class StoreSetKeeper {
-    private static final Logger LOG = System.getLogger(StoreSetKeeper.class.getName());
+public final class StoreSetController {
+    private static final Logger LOG = System.getLogger(StoreSetController.class.getName());
     /** Name of the shared object that holds the set. */
     public static final String SET_NAME = "set";
 
@@ -72,7 +72,7 @@
      * @param toleratedLosses number of disks that may be lost at once
      * @param mostMembers maximum size of the set; further VMs are standbys
      */
-    public StoreSetKeeper(
+    public StoreSetController(
             EventLoop loop,
             SharedObjects objects,
             ConversationReplica replica,
@@ -103,7 +103,7 @@
      *
      * @param news the changed objects
      */
-    public void setChanged(List<SharedObject> news) {
+    public void onSetChanged(List<SharedObject> news) {
         listed = true;
         news.stream().filter(each -> !each.deleted()).forEach(this::takeIn);
     }
@@ -113,7 +113,7 @@
      *
      * @param news the changed objects
      */
-    public void retirementsChanged(List<SharedObject> news) {
+    public void onRetirementsChanged(List<SharedObject> news) {
         news.forEach(each -> {
             LOG.log(
                     Logger.Level.INFO,
@@ -153,7 +153,7 @@
      *
      * @param follows the listener
      */
-    public void onWatching(Consumer<Boolean> follows) {
+    public void setWatchListener(Consumer<Boolean> follows) {
         watching = follows;
     }
 
@@ -262,7 +262,7 @@
                 .whenComplete((list, failure) -> loop.execute(() -> {
                     refreshing = false;
                     if (list != null) {
-                        setChanged(list.objects());
+                        onSetChanged(list.objects());
                     }
                 }));
     }
