--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationReplica.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationReplica.java
@@ -22,6 +22,7 @@
     private static final Logger LOG = System.getLogger(ConversationReplica.class.getName());
     /** Delay before a failed synchronization is retried. */
     private static final Duration TAKE_OVER_PAUSE = Duration.ofMillis(40);
+
     private static final Duration TAKE_OVER_PATIENCE = Duration.ofMillis(700);
     /** Maximum number of turns per fetch request; limits the size of a reply. */
     private static final int FETCH_BATCH = 64;
