--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Grant.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Grant.java
@@ -52,7 +52,7 @@
      *
      * @return 0 for a released grant, else {@link #tokens}
      */
-    public int counted() {
+    public int countedTokens() {
         return state == GrantState.RELEASED ? 0 : tokens;
     }
 }
