--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/BeginRequest.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/BeginRequest.java
@@ -9,16 +9,16 @@
  * @param program the program; empty for none
  * @param request the request ID
  * @param budget the number of tokens that all turns of the program together may generate, if limited
- * @param mostTokens the maximum number of tokens that this turn may generate
+ * @param maxTokens the maximum number of tokens that this turn may generate
  * @param previous the ID of the preceding turn; empty for none
  * @param retention the retention period of the reservation
- * @param patience how long to retry each request to the store VMs
+ * @param timeout how long to retry each request to the store VMs
  */
 public record BeginRequest(
         String program,
         String request,
         OptionalInt budget,
-        int mostTokens,
+        int maxTokens,
         String previous,
         Duration retention,
-        Duration patience) {}
+        Duration timeout) {}
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationClient.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationClient.java
@@ -19,11 +19,11 @@
 public final class ConversationClient {
     private static final Logger LOG = System.getLogger(ConversationClient.class.getName());
     /** Timeout of a single request; shorter than the restart of a store VM, so that it is retried meanwhile. */
-    private static final Duration REPLY_PATIENCE = Duration.ofMillis(250);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(250);
     /** Delay after which a read that the nearest members have not answered is sent to the others as well. */
-    private static final Duration NEAREST_PATIENCE = Duration.ofMillis(15);
+    private static final Duration HEDGE_DELAY = Duration.ofMillis(15);
     /** Delay before a request is retried at a member. */
-    private static final Duration RETRY_PAUSE = Duration.ofMillis(20);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(20);
 
     private final EventLoop loop;
     private final ReplicaCalls calls;
@@ -73,7 +73,7 @@
      */
     public boolean hasReachableQuorum() {
         return set.filter(known -> known.members().stream()
-                                .filter(each -> calls.reaches(each.address()))
+                                .filter(each -> calls.isReachable(each.address()))
                                 .count()
                         >= known.writeQuorum())
                 .isPresent();
@@ -94,18 +94,18 @@
      * @param grants the grants
      * @param turn the turn, if any
      * @param retention the retention period of the grants and the turn
-     * @param patience how long to retry
+     * @param timeout how long to retry
      * @return completes once a write quorum has them on disk; fails with StepException on a timeout
      */
     public CompletableFuture<Void> write(
-            List<Grant> grants, Optional<Turn> turn, Duration retention, Duration patience) {
+            List<Grant> grants, Optional<Turn> turn, Duration retention, Duration timeout) {
         QuorumCall call = new QuorumCall(
-                (epoch, whole) -> new ReplicaRequest.Write(epoch, retention.toMillis(), grants, turn),
+                (epoch, includesTexts) -> new ReplicaRequest.Write(epoch, retention.toMillis(), grants, turn),
                 StoreSet::writeQuorum,
                 false,
-                patience);
+                timeout);
         call.start();
-        return call.done.thenAccept(replies -> {});
+        return call.result.thenAccept(replies -> {});
     }
 
     /**
@@ -114,11 +114,11 @@
      *
      * @param program the program; empty for none
      * @param lastTurn the ID of the last turn of the chain; empty for none
-     * @param patience how long to retry
+     * @param timeout how long to retry
      * @return completes with the merged replies; fails with StepException on a timeout
      */
-    CompletableFuture<Joined> read(String program, String lastTurn, Duration patience) {
-        return read(program, lastTurn, true, patience);
+    CompletableFuture<MergedRecords> read(String program, String lastTurn, Duration timeout) {
+        return read(program, lastTurn, true, timeout);
     }
 
     /**
@@ -126,39 +126,40 @@
      *
      * @param program the program; empty for none
      * @param lastTurn the ID of the last turn of the chain; empty for none
-     * @param patience how long to retry
+     * @param timeout how long to retry
      * @return completes with the merged replies of the first read quorum; fails with StepException on a timeout
      */
-    CompletableFuture<Joined> readAtAll(String program, String lastTurn, Duration patience) {
-        return read(program, lastTurn, false, patience);
+    CompletableFuture<MergedRecords> readFromAll(String program, String lastTurn, Duration timeout) {
+        return read(program, lastTurn, false, timeout);
     }
 
-    private CompletableFuture<Joined> read(String program, String lastTurn, boolean nearest, Duration patience) {
+    private CompletableFuture<MergedRecords> read(
+            String program, String lastTurn, boolean nearestFirst, Duration timeout) {
         QuorumCall call = new QuorumCall(
-                (epoch, whole) -> new ReplicaRequest.Read(epoch, program, lastTurn, whole),
+                (epoch, includesTexts) -> new ReplicaRequest.Read(epoch, program, lastTurn, includesTexts),
                 StoreSet::readQuorum,
-                nearest,
-                patience);
+                nearestFirst,
+                timeout);
         call.start();
-        return call.done.thenApply(Joined::of);
+        return call.result.thenApply(MergedRecords::of);
     }
 
     /**
      * Reads single turns from all members without waiting for a quorum.
      *
-     * @param turns the IDs of the turns
+     * @param turnIds the IDs of the turns
      * @return completes with the turns found, repeated if several members have them; never fails
      */
-    CompletableFuture<List<Turn>> fetch(List<String> turns) {
-        List<CompletableFuture<List<Turn>>> asked = set.stream()
+    CompletableFuture<List<Turn>> fetch(List<String> turnIds) {
+        List<CompletableFuture<List<Turn>>> replies = set.stream()
                 .flatMap(known -> known.members().stream())
-                .map(each -> calls.ask(each.address(), new ReplicaRequest.Fetch(turns), REPLY_PATIENCE)
+                .map(each -> calls.send(each.address(), new ReplicaRequest.Fetch(turnIds), REQUEST_TIMEOUT)
                         .handle((reply, failure) ->
                                 reply instanceof ReplicaReply.Found found ? found.turns() : List.<Turn>of()))
                 .toList();
-        return CompletableFuture.allOf(asked.toArray(CompletableFuture[]::new))
+        return CompletableFuture.allOf(replies.toArray(CompletableFuture[]::new))
                 .thenApply(all ->
-                        asked.stream().flatMap(each -> each.join().stream()).toList());
+                        replies.stream().flatMap(each -> each.join().stream()).toList());
     }
 
     /**
@@ -168,8 +169,8 @@
      * @param turns the turns by ID
      * @param turnIds the IDs of all turns found, including those that were not sent
      */
-    record Joined(Map<String, Grant> grants, Map<String, Turn> turns, Set<String> turnIds) {
-        static Joined of(List<ReplicaReply> replies) {
+    record MergedRecords(Map<String, Grant> grants, Map<String, Turn> turns, Set<String> turnIds) {
+        static MergedRecords of(List<ReplicaReply> replies) {
             Map<String, Grant> grants = new HashMap<>();
             Map<String, Turn> turns = new HashMap<>();
             Set<String> turnIds = new HashSet<>();
@@ -178,140 +179,143 @@
                 found.turns().forEach(each -> turns.put(each.id(), each));
                 turnIds.addAll(found.turnIds());
             });
-            return new Joined(grants, turns, turnIds);
+            return new MergedRecords(grants, turns, turnIds);
         }
     }
 
-    private interface RequestAt {
-        ReplicaRequest at(long epoch, boolean whole);
+    private interface RequestFactory {
+        ReplicaRequest create(long epoch, boolean includesTexts);
     }
 
-    private interface Needed {
+    private interface QuorumSize {
         int of(StoreSet set);
     }
 
     /** A request to all members, or first to the nearest, that is retried until enough of one epoch have answered. */
     private final class QuorumCall {
-        private final CompletableFuture<List<ReplicaReply>> done = new CompletableFuture<>();
-        private final RequestAt request;
-        private final Needed needed;
+        private final CompletableFuture<List<ReplicaReply>> result = new CompletableFuture<>();
+        private final RequestFactory requestFactory;
+        private final QuorumSize quorumSize;
         private final boolean nearestFirst;
-        private final Duration patience;
-        private final long endNanos;
-        private final Set<StoreMember> asked = new HashSet<>();
-        private final Map<String, ReplicaReply> good = new HashMap<>();
+        private final Duration timeout;
+        private final long deadlineNanos;
+        private final Set<StoreMember> contacted = new HashSet<>();
+        private final Map<String, ReplicaReply> replies = new HashMap<>();
         private long epoch;
-        private String lastTrouble = "no store set is known yet";
+        private String lastError = "no store set is known yet";
 
-        private QuorumCall(RequestAt request, Needed needed, boolean nearestFirst, Duration patience) {
-            this.request = request;
-            this.needed = needed;
+        private QuorumCall(
+                RequestFactory requestFactory, QuorumSize quorumSize, boolean nearestFirst, Duration timeout) {
+            this.requestFactory = requestFactory;
+            this.quorumSize = quorumSize;
             this.nearestFirst = nearestFirst;
-            this.patience = patience;
-            this.endNanos = loop.clock().nanos() + patience.toNanos();
+            this.timeout = timeout;
+            this.deadlineNanos = loop.clock().nanos() + timeout.toNanos();
         }
 
         private void start() {
             loop.schedule(
-                    patience,
-                    () -> done.completeExceptionally(new StepException(
+                    timeout,
+                    () -> result.completeExceptionally(new StepException(
                             Step.COMMIT,
                             "stores",
-                            good.size() + " store VMs answered in time, fewer than a quorum; last error: "
-                                    + lastTrouble)));
-            begin();
+                            replies.size() + " store VMs answered in time, fewer than a quorum; last error: "
+                                    + lastError)));
+            startRound();
         }
 
-        private void begin() {
-            if (over()) {
+        private void startRound() {
+            if (isFinished()) {
                 return;
             }
             if (set.isEmpty()) {
-                loop.schedule(RETRY_PAUSE, this::begin);
+                loop.schedule(RETRY_DELAY, this::startRound);
                 return;
             }
             StoreSet target = set.get();
             epoch = target.epoch();
-            good.clear();
-            asked.clear();
+            replies.clear();
+            contacted.clear();
             if (!nearestFirst) {
-                askOthers(target);
+                sendToRemaining(target);
                 return;
             }
             List<StoreMember> nearest = target.members().stream()
-                    .sorted(Comparator.comparing((StoreMember each) -> !calls.reaches(each.address()))
+                    .sorted(Comparator.comparing((StoreMember each) -> !calls.isReachable(each.address()))
                             .thenComparingDouble(each -> calls.readLatencyNanos(each.address())))
-                    .limit(needed.of(target))
+                    .limit(quorumSize.of(target))
                     .toList();
-            nearest.forEach(member -> ask(target, member, member.equals(nearest.getFirst())));
-            loop.schedule(NEAREST_PATIENCE, () -> askOthers(target));
+            nearest.forEach(member -> send(target, member, member.equals(nearest.getFirst())));
+            loop.schedule(HEDGE_DELAY, () -> sendToRemaining(target));
         }
 
         /** Sends the request to all members that it was not sent to yet. */
-        private void askOthers(StoreSet target) {
+        private void sendToRemaining(StoreSet target) {
             target.members().stream()
-                    .filter(each -> !asked.contains(each))
+                    .filter(each -> !contacted.contains(each))
                     .toList()
-                    .forEach(member -> ask(target, member, true));
+                    .forEach(member -> send(target, member, true));
         }
 
-        private void ask(StoreSet target, StoreMember member, boolean whole) {
-            if (over() || target.epoch() != epoch) {
+        private void send(StoreSet target, StoreMember member, boolean includesTexts) {
+            if (isFinished() || target.epoch() != epoch) {
                 return;
             }
-            asked.add(member);
-            calls.ask(member.address(), request.at(target.epoch(), whole), REPLY_PATIENCE)
-                    .whenComplete((reply, failure) -> answered(target, member, whole, reply, failure));
+            contacted.add(member);
+            calls.send(member.address(), requestFactory.create(target.epoch(), includesTexts), REQUEST_TIMEOUT)
+                    .whenComplete((reply, failure) -> onReply(target, member, includesTexts, reply, failure));
         }
 
-        private void answered(
-                StoreSet target, StoreMember member, boolean whole, ReplicaReply reply, Throwable failure) {
-            if (over() || target.epoch() != epoch) {
+        private void onReply(
+                StoreSet target, StoreMember member, boolean includesTexts, ReplicaReply reply, Throwable failure) {
+            if (isFinished() || target.epoch() != epoch) {
                 return;
             }
             if (failure != null) {
-                retry(target, member, whole, "no reply from " + member.name());
+                retry(target, member, includesTexts, "no reply from " + member.name());
                 return;
             }
             switch (reply) {
-                case ReplicaReply.Written written -> count(target, member, written);
-                case ReplicaReply.Found found -> count(target, member, found);
+                case ReplicaReply.Written written -> addReply(target, member, written);
+                case ReplicaReply.Found found -> addReply(target, member, found);
                 case ReplicaReply.Stale stale -> {
                     adopt(stale.set());
-                    begin();
+                    startRound();
                 }
-                case ReplicaReply.Behind ignored -> tell(target, member, whole);
+                case ReplicaReply.Behind ignored -> sendSet(target, member, includesTexts);
                 case ReplicaReply.Incomplete ignored ->
-                    retry(target, member, whole, member.name() + " has not synchronized yet");
-                case ReplicaReply.Keys ignored -> retry(target, member, whole, "unexpected reply of type Keys");
-                case ReplicaReply.Progress ignored -> retry(target, member, whole, "unexpected reply of type Progress");
+                    retry(target, member, includesTexts, member.name() + " has not synchronized yet");
+                case ReplicaReply.RecordList ignored ->
+                    retry(target, member, includesTexts, "unexpected reply of type Keys");
+                case ReplicaReply.Progress ignored ->
+                    retry(target, member, includesTexts, "unexpected reply of type Progress");
             }
         }
 
-        private void count(StoreSet target, StoreMember member, ReplicaReply reply) {
-            good.put(member.disk(), reply);
-            if (good.size() >= needed.of(target)) {
-                done.complete(List.copyOf(good.values()));
+        private void addReply(StoreSet target, StoreMember member, ReplicaReply reply) {
+            replies.put(member.diskId(), reply);
+            if (replies.size() >= quorumSize.of(target)) {
+                result.complete(List.copyOf(replies.values()));
             }
         }
 
         /** Sends the set to a member at an earlier epoch, which may be unable to read it from the platform. */
-        private void tell(StoreSet target, StoreMember member, boolean whole) {
-            lastTrouble = member.name() + " has not adopted the current epoch yet";
-            calls.ask(member.address(), new ReplicaRequest.Tell(Optional.of(target)), REPLY_PATIENCE)
-                    .whenComplete((reply, failure) -> retry(target, member, whole, lastTrouble));
+        private void sendSet(StoreSet target, StoreMember member, boolean includesTexts) {
+            lastError = member.name() + " has not adopted the current epoch yet";
+            calls.send(member.address(), new ReplicaRequest.Heartbeat(Optional.of(target)), REQUEST_TIMEOUT)
+                    .whenComplete((reply, failure) -> retry(target, member, includesTexts, lastError));
         }
 
-        private void retry(StoreSet target, StoreMember member, boolean whole, String trouble) {
-            lastTrouble = trouble;
-            if (!over() && target.epoch() == epoch) {
-                askOthers(target);
+        private void retry(StoreSet target, StoreMember member, boolean includesTexts, String error) {
+            lastError = error;
+            if (!isFinished() && target.epoch() == epoch) {
+                sendToRemaining(target);
             }
-            loop.schedule(RETRY_PAUSE, () -> ask(target, member, whole));
+            loop.schedule(RETRY_DELAY, () -> send(target, member, includesTexts));
         }
 
-        private boolean over() {
-            return done.isDone() || loop.clock().nanos() - endNanos >= 0;
+        private boolean isFinished() {
+            return result.isDone() || loop.clock().nanos() - deadlineNanos >= 0;
         }
     }
 }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationCodec.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationCodec.java
@@ -15,7 +15,7 @@
     static void request(MessagePacker out, ReplicaRequest request) throws IOException {
         switch (request) {
             case ReplicaRequest.Write write -> {
-                out.packByte((byte) 1).packLong(write.epoch()).packLong(write.keepMillis());
+                out.packByte((byte) 1).packLong(write.epoch()).packLong(write.retentionMillis());
                 list(out, write.grants(), ConversationCodec::grant);
                 list(out, write.turn().stream().toList(), ConversationCodec::turn);
             }
@@ -24,18 +24,18 @@
                         .packLong(read.epoch())
                         .packString(read.program())
                         .packString(read.lastTurn())
-                        .packBoolean(read.texts());
+                        .packBoolean(read.includesTexts());
             case ReplicaRequest.Fetch fetch -> {
                 out.packByte((byte) 3);
-                list(out, fetch.turns(), MessagePacker::packString);
+                list(out, fetch.turnIds(), MessagePacker::packString);
             }
-            case ReplicaRequest.TakeOver takeOver -> {
+            case ReplicaRequest.ListRecords listRecords -> {
                 out.packByte((byte) 4);
-                set(out, takeOver.set());
+                set(out, listRecords.set());
             }
-            case ReplicaRequest.Tell tell -> {
+            case ReplicaRequest.Heartbeat heartbeat -> {
                 out.packByte((byte) 5);
-                list(out, tell.set().stream().toList(), ConversationCodec::set);
+                list(out, heartbeat.set().stream().toList(), ConversationCodec::set);
             }
         }
     }
@@ -52,8 +52,8 @@
             case 2 ->
                 new ReplicaRequest.Read(in.unpackLong(), in.unpackString(), in.unpackString(), in.unpackBoolean());
             case 3 -> new ReplicaRequest.Fetch(list(in, MessageUnpacker::unpackString));
-            case 4 -> new ReplicaRequest.TakeOver(set(in));
-            case 5 -> new ReplicaRequest.Tell(first(list(in, ConversationCodec::set)));
+            case 4 -> new ReplicaRequest.ListRecords(set(in));
+            case 5 -> new ReplicaRequest.Heartbeat(first(list(in, ConversationCodec::set)));
             default -> throw new IOException("unknown request type " + type);
         };
     }
@@ -73,15 +73,15 @@
             }
             case ReplicaReply.Behind ignored -> out.packByte((byte) 4);
             case ReplicaReply.Incomplete ignored -> out.packByte((byte) 5);
-            case ReplicaReply.Keys keys -> {
+            case ReplicaReply.RecordList recordList -> {
                 out.packByte((byte) 6);
-                list(out, keys.turns(), MessagePacker::packString);
-                list(out, keys.grants(), ConversationCodec::grant);
+                list(out, recordList.turnIds(), MessagePacker::packString);
+                list(out, recordList.grants(), ConversationCodec::grant);
             }
             case ReplicaReply.Progress progress ->
                 out.packByte((byte) 7)
                         .packString(progress.name())
-                        .packString(progress.disk())
+                        .packString(progress.diskId())
                         .packLong(progress.adoptedEpoch())
                         .packLong(progress.completeEpoch());
         }
@@ -100,7 +100,8 @@
             case 4 -> new ReplicaReply.Behind();
             case 5 -> new ReplicaReply.Incomplete();
             case 6 ->
-                new ReplicaReply.Keys(list(in, MessageUnpacker::unpackString), list(in, ConversationCodec::grant));
+                new ReplicaReply.RecordList(
+                        list(in, MessageUnpacker::unpackString), list(in, ConversationCodec::grant));
             case 7 -> new ReplicaReply.Progress(in.unpackString(), in.unpackString(), in.unpackLong(), in.unpackLong());
             default -> throw new IOException("unknown reply type " + type);
         };
@@ -159,7 +160,7 @@
     }
 
     private static void member(MessagePacker out, StoreMember member) throws IOException {
-        out.packString(member.name()).packString(member.disk()).packString(member.address());
+        out.packString(member.name()).packString(member.diskId()).packString(member.address());
     }
 
     private static StoreMember member(MessageUnpacker in) throws IOException {
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationReplica.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationReplica.java
@@ -21,23 +21,23 @@
 public final class ConversationReplica implements ReplicaCalls.Handler {
     private static final Logger LOG = System.getLogger(ConversationReplica.class.getName());
     /** Delay before a failed synchronization is retried. */
-    private static final Duration TAKE_OVER_PAUSE = Duration.ofMillis(40);
+    private static final Duration SYNC_RETRY_DELAY = Duration.ofMillis(40);
 
-    private static final Duration TAKE_OVER_PATIENCE = Duration.ofMillis(700);
+    private static final Duration SYNC_REQUEST_TIMEOUT = Duration.ofMillis(700);
     /** Maximum number of turns per fetch request; limits the size of a reply. */
-    private static final int FETCH_BATCH = 64;
+    private static final int FETCH_BATCH_SIZE = 64;
     /** Minimum retention of synchronized records, whose original expiry is not transferred. */
-    private static final long TAKEN_OVER_KEEP_MILLIS = 60_000;
+    private static final long SYNCED_RETENTION_MILLIS = 60_000;
 
     private static final Duration EXPIRY_PERIOD = Duration.ofSeconds(5);
 
     private final EventLoop loop;
     private final DurableLog log;
     private final String name;
-    private final HeldRecords held = new HeldRecords();
+    private final RecordIndex records = new RecordIndex();
     private ReplicaCalls calls;
     private ReplicaState state;
-    private boolean takingOver;
+    private boolean isSynchronizing;
 
     /**
      * Opens the replica and replays its log.
@@ -45,26 +45,26 @@
      * @param loop the event loop that all methods are called on
      * @param log the durable storage of this VM
      * @param name the name of this VM
-     * @param freshDisk generates the disk ID if the storage is empty
+     * @param diskIdGenerator generates the disk ID if the storage is empty
      */
-    public ConversationReplica(EventLoop loop, DurableLog log, String name, Supplier<String> freshDisk) {
+    public ConversationReplica(EventLoop loop, DurableLog log, String name, Supplier<String> diskIdGenerator) {
         this.loop = loop;
         this.log = log;
         this.name = name;
         long now = nowMillis();
-        log.replay().forEach(record -> held.replay(record, now));
-        Optional<ReplicaState> known = log.state().map(ReplicaState::decode);
-        state = known.orElseGet(() -> new ReplicaState(freshDisk.get(), Optional.empty(), 0));
-        if (known.isEmpty()) {
+        log.replay().forEach(record -> records.replay(record, now));
+        Optional<ReplicaState> savedState = log.state().map(ReplicaState::decode);
+        state = savedState.orElseGet(() -> new ReplicaState(diskIdGenerator.get(), Optional.empty(), 0));
+        if (savedState.isEmpty()) {
             log.saveState(state.encode());
         }
         LOG.log(
                 Logger.Level.INFO,
                 () -> LogLine.of("store_opened")
                         .with("vm", name)
-                        .with("disk", state.disk())
-                        .with("new_disk", known.isEmpty())
-                        .with("turns", held.size())
+                        .with("disk", state.diskId())
+                        .with("new_disk", savedState.isEmpty())
+                        .with("turns", records.size())
                         .with("adopted_epoch", state.adoptedEpoch())
                         .with("complete_epoch", state.completeEpoch())
                         .toString());
@@ -77,8 +77,8 @@
      */
     public void start(ReplicaCalls ownCalls) {
         calls = ownCalls;
-        loop.every(EXPIRY_PERIOD, () -> held.expire(nowMillis()));
-        takeOver();
+        loop.every(EXPIRY_PERIOD, () -> records.expire(nowMillis()));
+        synchronize();
     }
 
     /**
@@ -86,8 +86,8 @@
      *
      * @return the disk ID, which persists across restarts
      */
-    public String disk() {
-        return state.disk();
+    public String diskId() {
+        return state.diskId();
     }
 
     /**
@@ -96,7 +96,7 @@
      * @return the set, or empty if none was adopted yet
      */
     public Optional<StoreSet> set() {
-        return state.adopted();
+        return state.adoptedSet();
     }
 
     /**
@@ -104,12 +104,14 @@
      *
      * @return true if it is a member and holds all committed records of earlier epochs
      */
-    public boolean complete() {
-        return state.adopted().isPresent() && state.completeEpoch() >= state.adoptedEpoch() && member();
+    public boolean isComplete() {
+        return state.adoptedSet().isPresent() && state.completeEpoch() >= state.adoptedEpoch() && isMember();
     }
 
-    private boolean member() {
-        return state.adopted().flatMap(set -> set.byDisk(state.disk())).isPresent();
+    private boolean isMember() {
+        return state.adoptedSet()
+                .flatMap(set -> set.memberByDiskId(state.diskId()))
+                .isPresent();
     }
 
     /**
@@ -118,7 +120,7 @@
      * @return the progress
      */
     public ReplicaReply.Progress progress() {
-        return new ReplicaReply.Progress(name, state.disk(), state.adoptedEpoch(), state.completeEpoch());
+        return new ReplicaReply.Progress(name, state.diskId(), state.adoptedEpoch(), state.completeEpoch());
     }
 
     /**
@@ -140,8 +142,8 @@
                                 set.members().stream().map(StoreMember::name).toList())
                         .with("complete_epoch", state.completeEpoch())
                         .toString());
-        state = new ReplicaState(state.disk(), Optional.of(set), state.completeEpoch());
-        return log.saveState(state.encode()).thenAccept(saved -> loop.execute(this::takeOver));
+        state = new ReplicaState(state.diskId(), Optional.of(set), state.completeEpoch());
+        return log.saveState(state.encode()).thenAccept(saved -> loop.execute(this::synchronize));
     }
 
     @Override
@@ -150,89 +152,91 @@
             case ReplicaRequest.Write write -> write(write);
             case ReplicaRequest.Read read -> CompletableFuture.completedFuture(read(read));
             case ReplicaRequest.Fetch fetch -> CompletableFuture.completedFuture(fetch(fetch));
-            case ReplicaRequest.TakeOver takeOver ->
-                adopt(takeOver.set()).thenApplyAsync(adopted -> keys(takeOver.set()), loop);
-            case ReplicaRequest.Tell tell -> {
-                tell.set().ifPresent(this::adopt);
+            case ReplicaRequest.ListRecords listRecords ->
+                adopt(listRecords.set()).thenApplyAsync(adopted -> listRecords(listRecords.set()), loop);
+            case ReplicaRequest.Heartbeat heartbeat -> {
+                heartbeat.set().ifPresent(this::adopt);
                 yield CompletableFuture.completedFuture(progress());
             }
         };
     }
 
     private CompletableFuture<ReplicaReply> write(ReplicaRequest.Write write) {
-        Optional<ReplicaReply> refused = checkEpoch(write.epoch());
-        if (refused.isPresent()) {
-            return CompletableFuture.completedFuture(refused.get());
+        Optional<ReplicaReply> rejection = checkEpoch(write.epoch());
+        if (rejection.isPresent()) {
+            return CompletableFuture.completedFuture(rejection.get());
         }
-        if (!member()) {
+        if (!isMember()) {
             // A VM that restarted with an empty disk still has its member's address, but must not acknowledge writes
             // on behalf of the lost disk.
             return CompletableFuture.completedFuture(new ReplicaReply.Incomplete());
         }
-        var entries = held.keep(write.grants(), write.turn().stream().toList(), write.keepMillis(), nowMillis());
+        var entries = records.add(write.grants(), write.turn().stream().toList(), write.retentionMillis(), nowMillis());
         // Append even if nothing is new: an earlier copy of the same write may not be on disk yet.
         return log.append(entries).thenApply(done -> new ReplicaReply.Written());
     }
 
     private ReplicaReply read(ReplicaRequest.Read read) {
-        return checkEpoch(read.epoch()).orElseGet(() -> complete() ? found(read) : new ReplicaReply.Incomplete());
+        return checkEpoch(read.epoch()).orElseGet(() -> isComplete() ? find(read) : new ReplicaReply.Incomplete());
     }
 
-    private ReplicaReply found(ReplicaRequest.Read read) {
-        List<Grant> grants = held.ledger(read.program());
-        List<Turn> chain = held.chain(read.lastTurn());
-        return read.texts()
+    private ReplicaReply find(ReplicaRequest.Read read) {
+        List<Grant> grants = records.ledger(read.program());
+        List<Turn> chain = records.chain(read.lastTurn());
+        return read.includesTexts()
                 ? ReplicaReply.Found.of(grants, chain)
                 : new ReplicaReply.Found(
                         grants, List.of(), chain.stream().map(Turn::id).toList());
     }
 
     private ReplicaReply fetch(ReplicaRequest.Fetch fetch) {
-        List<Turn> found =
-                fetch.turns().stream().flatMap(id -> held.turn(id).stream()).toList();
+        List<Turn> found = fetch.turnIds().stream()
+                .flatMap(id -> records.turn(id).stream())
+                .toList();
         return ReplicaReply.Found.of(List.of(), found);
     }
 
     private Optional<ReplicaReply> checkEpoch(long epoch) {
-        if (state.adopted().isEmpty() || epoch > state.adoptedEpoch()) {
+        if (state.adoptedSet().isEmpty() || epoch > state.adoptedEpoch()) {
             return Optional.of(new ReplicaReply.Behind());
         }
         return epoch < state.adoptedEpoch()
-                ? Optional.of(new ReplicaReply.Stale(state.adopted().get()))
+                ? Optional.of(new ReplicaReply.Stale(state.adoptedSet().get()))
                 : Optional.empty();
     }
 
     /** Lists the records for a member that synchronizes; requires that this replica completed the preceding epoch. */
-    private ReplicaReply keys(StoreSet set) {
+    private ReplicaReply listRecords(StoreSet set) {
         if (state.adoptedEpoch() > set.epoch()) {
-            return new ReplicaReply.Stale(state.adopted().orElseThrow());
+            return new ReplicaReply.Stale(state.adoptedSet().orElseThrow());
         }
-        boolean member = set.previous().stream().anyMatch(each -> each.disk().equals(state.disk()));
-        return member && state.completeEpoch() >= set.epoch() - 1
-                ? new ReplicaReply.Keys(held.turnIds(), held.grants())
+        boolean wasMember =
+                set.previous().stream().anyMatch(each -> each.diskId().equals(state.diskId()));
+        return wasMember && state.completeEpoch() >= set.epoch() - 1
+                ? new ReplicaReply.RecordList(records.turnIds(), records.grants())
                 : new ReplicaReply.Incomplete();
     }
 
-    private void takeOver() {
-        Optional<StoreSet> target = state.adopted();
-        if (takingOver
+    private void synchronize() {
+        Optional<StoreSet> target = state.adoptedSet();
+        if (isSynchronizing
                 || calls == null
                 || target.isEmpty()
                 || state.completeEpoch() >= target.get().epoch()
-                || target.get().byDisk(state.disk()).isEmpty()) {
+                || target.get().memberByDiskId(state.diskId()).isEmpty()) {
             return;
         }
-        takingOver = true;
-        new TakeOver(target.get()).start();
+        isSynchronizing = true;
+        new Synchronization(target.get()).start();
     }
 
-    private void takeOverEnded(StoreSet set, boolean complete, int taken) {
-        takingOver = false;
-        if (!complete || state.adoptedEpoch() != set.epoch()) {
-            loop.schedule(TAKE_OVER_PAUSE, this::takeOver);
+    private void onSynchronizationEnded(StoreSet set, boolean isComplete, int recordCount) {
+        isSynchronizing = false;
+        if (!isComplete || state.adoptedEpoch() != set.epoch()) {
+            loop.schedule(SYNC_RETRY_DELAY, this::synchronize);
             return;
         }
-        ReplicaState next = new ReplicaState(state.disk(), state.adopted(), set.epoch());
+        ReplicaState next = new ReplicaState(state.diskId(), state.adoptedSet(), set.epoch());
         log.saveState(next.encode())
                 .whenComplete((saved, failure) -> loop.execute(() -> {
                     if (failure == null && state.adoptedEpoch() == set.epoch()) {
@@ -241,11 +245,11 @@
                                 Logger.Level.INFO,
                                 () -> LogLine.of("store_complete")
                                         .with("epoch", set.epoch())
-                                        .with("synced_records", taken)
-                                        .with("turns", held.size())
+                                        .with("synced_records", recordCount)
+                                        .with("turns", records.size())
                                         .toString());
                     } else {
-                        takeOver();
+                        synchronize();
                     }
                 }));
     }
@@ -255,97 +259,98 @@
     }
 
     /** One attempt to synchronize all committed records of earlier epochs. */
-    private final class TakeOver {
+    private final class Synchronization {
         private final StoreSet set;
-        private final Map<String, ReplicaReply.Keys> keys = new HashMap<>();
-        private final int needed;
-        private int open;
-        private int taken;
-        private boolean fetching;
+        private final Map<String, ReplicaReply.RecordList> recordLists = new HashMap<>();
+        private final int neededSources;
+        private int pendingReplies;
+        private int syncedRecords;
+        private boolean isFetching;
 
-        private TakeOver(StoreSet set) {
+        private Synchronization(StoreSet set) {
             this.set = set;
-            boolean ownCounts = state.completeEpoch() >= set.epoch() - 1
-                    && set.previous().stream().anyMatch(each -> each.disk().equals(state.disk()));
-            this.needed = set.takeOverQuorum() - (ownCounts ? 1 : 0);
+            boolean isOwnSource = state.completeEpoch() >= set.epoch() - 1
+                    && set.previous().stream().anyMatch(each -> each.diskId().equals(state.diskId()));
+            this.neededSources = set.syncQuorum() - (isOwnSource ? 1 : 0);
         }
 
         private void start() {
             List<StoreMember> others = set.previous().stream()
-                    .filter(each -> !each.disk().equals(state.disk()))
+                    .filter(each -> !each.diskId().equals(state.diskId()))
                     .toList();
-            open = others.size();
-            if (needed <= 0) {
-                fetching = true;
-                takeOverEnded(set, true, 0);
+            pendingReplies = others.size();
+            if (neededSources <= 0) {
+                isFetching = true;
+                onSynchronizationEnded(set, true, 0);
                 return;
             }
             if (others.isEmpty()) {
-                takeOverEnded(set, false, 0);
+                onSynchronizationEnded(set, false, 0);
                 return;
             }
-            others.forEach(other -> calls.ask(other.address(), new ReplicaRequest.TakeOver(set), TAKE_OVER_PATIENCE)
-                    .whenComplete((reply, failure) -> loop.execute(() -> answered(other, reply))));
+            others.forEach(other -> calls.send(
+                            other.address(), new ReplicaRequest.ListRecords(set), SYNC_REQUEST_TIMEOUT)
+                    .whenComplete((reply, failure) -> loop.execute(() -> onReply(other, reply))));
         }
 
-        private void answered(StoreMember from, ReplicaReply reply) {
-            open--;
-            if (fetching) {
+        private void onReply(StoreMember from, ReplicaReply reply) {
+            pendingReplies--;
+            if (isFetching) {
                 return;
             }
-            if (reply instanceof ReplicaReply.Keys found) {
-                keys.put(from.address(), found);
+            if (reply instanceof ReplicaReply.RecordList recordList) {
+                recordLists.put(from.address(), recordList);
             } else if (reply instanceof ReplicaReply.Stale stale) {
                 adopt(stale.set());
             }
-            if (keys.size() >= needed) {
-                fetching = true;
-                fetchNext(new ArrayList<>(keys.entrySet()));
-            } else if (open == 0) {
-                takeOverEnded(set, false, taken);
+            if (recordLists.size() >= neededSources) {
+                isFetching = true;
+                fetchNextSource(new ArrayList<>(recordLists.entrySet()));
+            } else if (pendingReplies == 0) {
+                onSynchronizationEnded(set, false, syncedRecords);
             }
         }
 
         /** Stores the grants of each source, then fetches the turns that are missing here. */
-        private void fetchNext(List<Map.Entry<String, ReplicaReply.Keys>> sources) {
+        private void fetchNextSource(List<Map.Entry<String, ReplicaReply.RecordList>> sources) {
             if (sources.isEmpty()) {
-                takeOverEnded(set, true, taken);
+                onSynchronizationEnded(set, true, syncedRecords);
                 return;
             }
             var source = sources.removeFirst();
-            var missing = new ArrayList<>(source.getValue().turns().stream()
-                    .filter(id -> held.turn(id).isEmpty())
+            var missing = new ArrayList<>(source.getValue().turnIds().stream()
+                    .filter(id -> records.turn(id).isEmpty())
                     .toList());
-            keepTaken(source.getValue().grants(), List.of(), () -> fetchTurns(source.getKey(), missing, sources));
+            storeRecords(source.getValue().grants(), List.of(), () -> fetchTurns(source.getKey(), missing, sources));
         }
 
         private void fetchTurns(
-                String address, List<String> missing, List<Map.Entry<String, ReplicaReply.Keys>> sources) {
+                String address, List<String> missing, List<Map.Entry<String, ReplicaReply.RecordList>> sources) {
             if (missing.isEmpty()) {
-                fetchNext(sources);
+                fetchNextSource(sources);
                 return;
             }
-            List<String> batch = List.copyOf(missing.subList(0, Math.min(FETCH_BATCH, missing.size())));
-            calls.ask(address, new ReplicaRequest.Fetch(batch), TAKE_OVER_PATIENCE)
+            List<String> batch = List.copyOf(missing.subList(0, Math.min(FETCH_BATCH_SIZE, missing.size())));
+            calls.send(address, new ReplicaRequest.Fetch(batch), SYNC_REQUEST_TIMEOUT)
                     .whenComplete((reply, failure) -> loop.execute(() -> {
                         if (reply instanceof ReplicaReply.Found found) {
                             missing.removeAll(batch);
-                            keepTaken(List.of(), found.turns(), () -> fetchTurns(address, missing, sources));
+                            storeRecords(List.of(), found.turns(), () -> fetchTurns(address, missing, sources));
                         } else {
-                            takeOverEnded(set, false, taken);
+                            onSynchronizationEnded(set, false, syncedRecords);
                         }
                     }));
         }
 
-        private void keepTaken(List<Grant> grants, List<Turn> turns, Runnable then) {
-            var entries = held.keep(grants, turns, TAKEN_OVER_KEEP_MILLIS, nowMillis());
-            taken += entries.size();
+        private void storeRecords(List<Grant> grants, List<Turn> turns, Runnable onStored) {
+            var entries = records.add(grants, turns, SYNCED_RETENTION_MILLIS, nowMillis());
+            syncedRecords += entries.size();
             log.append(entries)
                     .whenComplete((done, failure) -> loop.execute(() -> {
                         if (failure == null) {
-                            then.run();
+                            onStored.run();
                         } else {
-                            takeOverEnded(set, false, taken);
+                            onSynchronizationEnded(set, false, syncedRecords);
                         }
                     }));
         }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Conversations.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Conversations.java
@@ -20,11 +20,11 @@
 public final class Conversations {
     private static final Logger LOG = System.getLogger(Conversations.class.getName());
     /** Timeout of writes on whose result no caller waits. */
-    private static final Duration BACKGROUND_PATIENCE = Duration.ofSeconds(20);
+    private static final Duration BACKGROUND_WRITE_TIMEOUT = Duration.ofSeconds(20);
 
     private final ConversationClient client;
-    private final SpentPrograms spent = new SpentPrograms();
-    private final QuorumHealth health;
+    private final SettledTokenCache settledTokens = new SettledTokenCache();
+    private final QuorumCircuitBreaker circuitBreaker;
 
     /**
      * Creates an instance.
@@ -33,59 +33,59 @@
      */
     public Conversations(ConversationClient client) {
         this.client = client;
-        this.health = new QuorumHealth(client::nanos);
+        this.circuitBreaker = new QuorumCircuitBreaker(client::nanos);
     }
 
     /**
      * Reserves the tokens of a turn and reads the chain of turns that precede it.
      *
-     * @param begin the turn to begin
+     * @param request the turn to begin
      * @return completes with the outcome; never fails
      */
-    public CompletableFuture<BeginResult> begin(BeginRequest begin) {
-        int generated = spent.atLeast(begin.program());
-        if (begin.budget().isPresent()
-                && generated + begin.mostTokens() > begin.budget().getAsInt()) {
-            return CompletableFuture.completedFuture(new BeginResult.BudgetSpent(generated, generated));
+    public CompletableFuture<BeginResult> begin(BeginRequest request) {
+        int generatedTokens = settledTokens.lowerBound(request.program());
+        if (request.budget().isPresent()
+                && generatedTokens + request.maxTokens() > request.budget().getAsInt()) {
+            return CompletableFuture.completedFuture(new BeginResult.BudgetSpent(generatedTokens, generatedTokens));
         }
-        if (!health.mayTry()) {
+        if (!circuitBreaker.tryAcquire()) {
             return CompletableFuture.completedFuture(
                     new BeginResult.Unavailable("no quorum of the store VMs answered the latest request"));
         }
-        long begunNanos = client.nanos();
-        CompletableFuture<Void> reserved = begin.budget().isEmpty()
+        long startNanos = client.nanos();
+        CompletableFuture<Void> reserved = request.budget().isEmpty()
                 ? CompletableFuture.completedFuture(null)
                 : client.write(
-                        List.of(grant(begin, GrantState.RESERVED)),
+                        List.of(grant(request, GrantState.RESERVED)),
                         Optional.empty(),
-                        begin.retention(),
-                        begin.patience());
-        return reserved.thenCompose(done -> client.read(begin.program(), begin.previous(), begin.patience()))
-                .thenCompose(found -> {
-                    storesAnswer();
-                    return judge(begin, found);
+                        request.retention(),
+                        request.timeout());
+        return reserved.thenCompose(done -> client.read(request.program(), request.previous(), request.timeout()))
+                .thenCompose(records -> {
+                    recordQuorumReply();
+                    return admit(request, records);
                 })
                 .exceptionally(failure -> {
-                    storesSilent(begunNanos, failure);
+                    recordQuorumFailure(startNanos, failure);
                     BeginResult result = new BeginResult.Unavailable(
                             StepException.unwrap(failure).getMessage());
                     return result;
                 })
                 .whenComplete((result, failure) -> {
-                    if (begin.budget().isPresent() && !(result instanceof BeginResult.Granted)) {
-                        release(begin.program(), begin.request(), begin.retention());
+                    if (request.budget().isPresent() && !(result instanceof BeginResult.Granted)) {
+                        release(request.program(), request.request(), request.retention());
                     }
                 });
     }
 
-    private void storesAnswer() {
-        if (health.answered()) {
+    private void recordQuorumReply() {
+        if (circuitBreaker.recordSuccess()) {
             LOG.log(Logger.Level.INFO, LogLine.of("store_quorum_restored").toString());
         }
     }
 
-    private void storesSilent(long begunNanos, Throwable failure) {
-        if (health.waitedInVain(begunNanos)) {
+    private void recordQuorumFailure(long startNanos, Throwable failure) {
+        if (circuitBreaker.recordFailure(startNanos)) {
             LOG.log(
                     Logger.Level.WARNING,
                     LogLine.of("store_quorum_lost").failure(failure).toString());
@@ -98,12 +98,12 @@
      * @param grant its settled grant, if the program has a budget
      * @param turn the turn, if the conversation is stored
      * @param retention the retention period of both
-     * @param patience how long to retry
+     * @param timeout how long to retry
      * @return completes once a write quorum has both on disk; fails with StepException on a timeout
      */
     public CompletableFuture<Void> commit(
-            Optional<Grant> grant, Optional<Turn> turn, Duration retention, Duration patience) {
-        return client.write(grant.stream().toList(), turn, retention, patience);
+            Optional<Grant> grant, Optional<Turn> turn, Duration retention, Duration timeout) {
+        return client.write(grant.stream().toList(), turn, retention, timeout);
     }
 
     /**
@@ -124,7 +124,7 @@
      * @param retention the retention period of the grant
      */
     public void writeInBackground(Grant grant, Duration retention) {
-        client.write(List.of(grant), Optional.empty(), retention, BACKGROUND_PATIENCE)
+        client.write(List.of(grant), Optional.empty(), retention, BACKGROUND_WRITE_TIMEOUT)
                 .whenComplete((done, failure) -> {
                     if (failure != null) {
                         // The reservation still counts with its maximum, so the budget is not exceeded.
@@ -140,41 +140,41 @@
                 });
     }
 
-    private CompletableFuture<BeginResult> judge(BeginRequest begin, ConversationClient.Joined found) {
-        spent.settled(
-                begin.program(),
-                found.grants().values().stream()
+    private CompletableFuture<BeginResult> admit(BeginRequest request, ConversationClient.MergedRecords records) {
+        settledTokens.update(
+                request.program(),
+                records.grants().values().stream()
                         .filter(each -> each.state() == GrantState.SETTLED)
                         .mapToInt(Grant::countedTokens)
                         .sum());
-        int counted = found.grants().values().stream()
-                .filter(each -> !each.request().equals(begin.request()))
+        int countedTokens = records.grants().values().stream()
+                .filter(each -> !each.request().equals(request.request()))
                 .mapToInt(Grant::countedTokens)
                 .sum();
-        if (begin.budget().isPresent()
-                && counted + begin.mostTokens() > begin.budget().getAsInt()) {
+        if (request.budget().isPresent()
+                && countedTokens + request.maxTokens() > request.budget().getAsInt()) {
             return CompletableFuture.completedFuture(
-                    new BeginResult.BudgetSpent(counted, spent.atLeast(begin.program())));
+                    new BeginResult.BudgetSpent(countedTokens, settledTokens.lowerBound(request.program())));
         }
-        List<Grant> settled = found.grants().values().stream()
+        List<Grant> settled = records.grants().values().stream()
                 .filter(each -> each.state() == GrantState.SETTLED)
                 .toList();
-        if (!begin.previous().isEmpty() && !found.turnIds().contains(begin.previous())) {
+        if (!request.previous().isEmpty() && !records.turnIds().contains(request.previous())) {
             return CompletableFuture.completedFuture(new BeginResult.NoSuchTurn());
         }
-        return assemble(begin, found.turns(), settled, true);
+        return assembleChain(request, records.turns(), settled, true);
     }
 
     /** Assembles the chain from the turns read; reads a missing turn and those before it from all members. */
-    private CompletableFuture<BeginResult> assemble(
-            BeginRequest begin, Map<String, Turn> turns, List<Grant> settled, boolean mayFetch) {
+    private CompletableFuture<BeginResult> assembleChain(
+            BeginRequest request, Map<String, Turn> turns, List<Grant> settled, boolean canFetch) {
         Deque<Turn> chain = new ArrayDeque<>();
-        String id = begin.previous();
+        String id = request.previous();
         while (!id.isEmpty()) {
             Turn turn = turns.get(id);
             if (turn == null) {
-                return mayFetch
-                        ? fetchHole(begin, turns, settled, id)
+                return canFetch
+                        ? fetchMissingTurn(request, turns, settled, id)
                         : CompletableFuture.completedFuture(new BeginResult.Unavailable(
                                 "turn " + id + " of the chain was not found at a read quorum"));
             }
@@ -184,15 +184,15 @@
         return CompletableFuture.completedFuture(new BeginResult.Granted(List.copyOf(chain), settled));
     }
 
-    private CompletableFuture<BeginResult> fetchHole(
-            BeginRequest begin, Map<String, Turn> turns, List<Grant> settled, String missing) {
-        return client.readAtAll("", missing, begin.patience()).thenCompose(more -> {
+    private CompletableFuture<BeginResult> fetchMissingTurn(
+            BeginRequest request, Map<String, Turn> turns, List<Grant> settled, String missing) {
+        return client.readFromAll("", missing, request.timeout()).thenCompose(more -> {
             turns.putAll(more.turns());
-            return assemble(begin, turns, settled, more.turns().containsKey(missing));
+            return assembleChain(request, turns, settled, more.turns().containsKey(missing));
         });
     }
 
-    private static Grant grant(BeginRequest begin, GrantState state) {
-        return new Grant(begin.program(), begin.request(), state, begin.mostTokens(), "");
+    private static Grant grant(BeginRequest request, GrantState state) {
+        return new Grant(request.program(), request.request(), state, request.maxTokens(), "");
     }
 }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/DurableLog.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/DurableLog.java
@@ -10,9 +10,9 @@
      * A record with its expiry.
      *
      * @param bytes the encoded record
-     * @param neededUntilMillis the time after which it may be deleted, in ms since the Unix epoch
+     * @param expiresAtMillis the time after which it may be deleted, in ms since the Unix epoch
      */
-    record Entry(byte[] bytes, long neededUntilMillis) {}
+    record Entry(byte[] bytes, long expiresAtMillis) {}
 
     /**
      * Returns the records found when the log was opened; a second call may return none.
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/FileDurableLog.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/FileDurableLog.java
@@ -37,16 +37,16 @@
     /** Maximum number of requests waiting for the disk; a power of two. */
     private static final int RING_SIZE = 1 << 12;
 
-    private static final String SUFFIX = ".log";
-    private static final String STATE = "state";
+    private static final String SEGMENT_SUFFIX = ".log";
+    private static final String STATE_FILE = "state";
 
     private final Path folder;
     private final RuntimeClock clock;
     private final List<Entry> replayed = new ArrayList<>();
     private final Deque<Segment> segments = new ArrayDeque<>();
     private final Disruptor<Slot> disruptor;
-    private FileChannel current;
-    private long currentBytes;
+    private FileChannel segmentChannel;
+    private long writtenBytes;
 
     /**
      * Opens the log in a directory and reads its records, ignoring a torn record at the end of a segment.
@@ -61,7 +61,7 @@
         try {
             Files.createDirectories(folder);
             recover();
-            begin();
+            startSegment();
         } catch (IOException fault) {
             throw new StepException(Step.CONFIGURE, folder.toString(), "cannot open data directory: " + fault);
         }
@@ -89,7 +89,7 @@
     @Override
     public Optional<byte[]> state() {
         try {
-            Path file = folder.resolve(STATE);
+            Path file = folder.resolve(STATE_FILE);
             if (!Files.exists(file)) {
                 return Optional.empty();
             }
@@ -104,14 +104,14 @@
     @Override
     public CompletableFuture<Void> append(List<Entry> entries) {
         CompletableFuture<Void> durable = new CompletableFuture<>();
-        publish(new Work(entries, null, durable));
+        publish(new WriteRequest(entries, null, durable));
         return durable;
     }
 
     @Override
     public CompletableFuture<Void> saveState(byte[] state) {
         CompletableFuture<Void> durable = new CompletableFuture<>();
-        publish(new Work(List.of(), state, durable));
+        publish(new WriteRequest(List.of(), state, durable));
         return durable;
     }
 
@@ -119,7 +119,7 @@
     public void close() {
         disruptor.shutdown();
         try {
-            current.close();
+            segmentChannel.close();
         } catch (IOException fault) {
             LOG.log(
                     Logger.Level.WARNING,
@@ -127,34 +127,34 @@
         }
     }
 
-    private void publish(Work work) {
-        boolean taken = disruptor.getRingBuffer().tryPublishEvent((slot, sequence) -> slot.work = work);
-        if (!taken) {
-            work.durable().completeExceptionally(new StepException(Step.COMMIT, "disk", "disk write queue is full"));
+    private void publish(WriteRequest request) {
+        boolean isAccepted = disruptor.getRingBuffer().tryPublishEvent((slot, sequence) -> slot.request = request);
+        if (!isAccepted) {
+            request.durable().completeExceptionally(new StepException(Step.COMMIT, "disk", "disk write queue is full"));
         }
     }
 
     private void recover() throws IOException {
         List<Path> files;
         try (Stream<Path> listed = Files.list(folder)) {
-            files = listed.filter(each -> each.getFileName().toString().endsWith(SUFFIX))
+            files = listed.filter(each -> each.getFileName().toString().endsWith(SEGMENT_SUFFIX))
                     .sorted()
                     .toList();
         }
         for (Path file : files) {
             byte[] bytes = Files.readAllBytes(file);
             Segment segment = new Segment(file, 0);
-            int good = RecordFrames.read(bytes, frame -> {
+            int validBytes = RecordFrames.read(bytes, frame -> {
                 Entry entry = unwrap(frame);
-                segment.needUntil(entry.neededUntilMillis());
+                segment.extendExpiry(entry.expiresAtMillis());
                 replayed.add(entry);
             });
-            if (good < bytes.length) {
+            if (validBytes < bytes.length) {
                 LOG.log(
                         Logger.Level.WARNING,
                         LogLine.of("torn_tail_ignored")
                                 .with("file", file.getFileName())
-                                .with("bytes", bytes.length - good)
+                                .with("bytes", bytes.length - validBytes)
                                 .toString());
             }
             segments.add(segment);
@@ -162,34 +162,34 @@
     }
 
     /** Starts a segment in a new file. Segments written by earlier processes are never appended to. */
-    private void begin() throws IOException {
+    private void startSegment() throws IOException {
         long number = segments.isEmpty() ? 1 : number(segments.getLast().file()) + 1;
-        Path file = folder.resolve(String.format("%012d%s", number, SUFFIX));
-        current = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        currentBytes = 0;
-        current.force(true);
+        Path file = folder.resolve(String.format("%012d%s", number, SEGMENT_SUFFIX));
+        segmentChannel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        writtenBytes = 0;
+        segmentChannel.force(true);
         syncFolder();
         segments.add(new Segment(file, 0));
     }
 
     private static byte[] wrap(Entry entry) {
         return ByteBuffer.allocate(Long.BYTES + entry.bytes().length)
-                .putLong(entry.neededUntilMillis())
+                .putLong(entry.expiresAtMillis())
                 .put(entry.bytes())
                 .array();
     }
 
     private static Entry unwrap(byte[] frame) {
         ByteBuffer buffer = ByteBuffer.wrap(frame);
-        long until = buffer.getLong();
+        long expiresAtMillis = buffer.getLong();
         byte[] bytes = new byte[buffer.remaining()];
         buffer.get(bytes);
-        return new Entry(bytes, until);
+        return new Entry(bytes, expiresAtMillis);
     }
 
     private static long number(Path file) {
         String name = file.getFileName().toString();
-        return Long.parseLong(name.substring(0, name.length() - SUFFIX.length()));
+        return Long.parseLong(name.substring(0, name.length() - SEGMENT_SUFFIX.length()));
     }
 
     /** Syncs the directory, without which a created, renamed or deleted file does not survive a power loss. */
@@ -199,73 +199,77 @@
         }
     }
 
-    private void write(Work work) throws IOException {
-        for (Entry entry : work.entries()) {
+    private void write(WriteRequest request) throws IOException {
+        for (Entry entry : request.entries()) {
             ByteBuffer frame = RecordFrames.frame(wrap(entry));
-            currentBytes += frame.remaining();
+            writtenBytes += frame.remaining();
             while (frame.hasRemaining()) {
-                current.write(frame);
+                segmentChannel.write(frame);
             }
-            segments.getLast().needUntil(entry.neededUntilMillis());
+            segments.getLast().extendExpiry(entry.expiresAtMillis());
         }
-        if (work.state() != null) {
-            replaceState(work.state());
+        if (request.state() != null) {
+            replaceState(request.state());
         }
     }
 
     private void replaceState(byte[] state) throws IOException {
-        Path fresh = folder.resolve(STATE + ".new");
+        Path temporary = folder.resolve(STATE_FILE + ".new");
         try (FileChannel channel = FileChannel.open(
-                fresh, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
+                temporary, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
             ByteBuffer frame = RecordFrames.frame(state);
             while (frame.hasRemaining()) {
                 channel.write(frame);
             }
             channel.force(true);
         }
-        Files.move(fresh, folder.resolve(STATE), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                temporary,
+                folder.resolve(STATE_FILE),
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
         syncFolder();
     }
 
     private void syncAndRoll() throws IOException {
-        current.force(false);
-        if (currentBytes >= SEGMENT_BYTES) {
-            current.close();
-            begin();
-            dropUnneeded();
+        segmentChannel.force(false);
+        if (writtenBytes >= SEGMENT_BYTES) {
+            segmentChannel.close();
+            startSegment();
+            deleteExpiredSegments();
         }
     }
 
-    private void dropUnneeded() throws IOException {
+    private void deleteExpiredSegments() throws IOException {
         long now = clock.instant().toEpochMilli();
-        while (segments.size() > 1 && segments.getFirst().neededUntilMillis < now) {
+        while (segments.size() > 1 && segments.getFirst().expiresAtMillis < now) {
             Files.delete(segments.removeFirst().file());
         }
         syncFolder();
     }
 
-    private record Work(List<Entry> entries, byte[] state, CompletableFuture<Void> durable) {}
+    private record WriteRequest(List<Entry> entries, byte[] state, CompletableFuture<Void> durable) {}
 
     private static final class Segment {
         private final Path file;
-        private long neededUntilMillis;
+        private long expiresAtMillis;
 
-        private Segment(Path file, long neededUntilMillis) {
+        private Segment(Path file, long expiresAtMillis) {
             this.file = file;
-            this.neededUntilMillis = neededUntilMillis;
+            this.expiresAtMillis = expiresAtMillis;
         }
 
         private Path file() {
             return file;
         }
 
-        private void needUntil(long millis) {
-            neededUntilMillis = Math.max(neededUntilMillis, millis);
+        private void extendExpiry(long millis) {
+            expiresAtMillis = Math.max(expiresAtMillis, millis);
         }
     }
 
     private static final class Slot {
-        private Work work;
+        private WriteRequest request;
     }
 
     /** Writes the queued requests; runs on the disk thread. */
@@ -274,11 +278,11 @@
 
         @Override
         public void onEvent(Slot slot, long sequence, boolean endOfBatch) {
-            Work work = slot.work;
-            slot.work = null;
-            unsynced.add(work.durable());
+            WriteRequest request = slot.request;
+            slot.request = null;
+            unsynced.add(request.durable());
             try {
-                write(work);
+                write(request);
                 if (endOfBatch) {
                     syncAndRoll();
                     unsynced.forEach(each -> each.complete(null));
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Grant.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Grant.java
@@ -40,10 +40,10 @@
      * @return the one with the later state; this one if the states are equal
      */
     public Grant merge(Grant other) {
-        return other.laterThan(this) ? other : this;
+        return other.isLaterThan(this) ? other : this;
     }
 
-    boolean laterThan(Grant other) {
+    boolean isLaterThan(Grant other) {
         return state.compareTo(other.state) > 0;
     }
 
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/RecordFrames.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/RecordFrames.java
@@ -6,13 +6,13 @@
 
 /** Frames of records on disk: length, CRC-32C checksum, payload. The checksum detects partially written frames. */
 final class RecordFrames {
-    private static final int HEAD = 8;
-    private static final int MAX_BYTES = 32 << 20;
+    private static final int HEADER_BYTES = 8;
+    private static final int MAX_PAYLOAD_BYTES = 32 << 20;
 
     private RecordFrames() {}
 
     static ByteBuffer frame(byte[] bytes) {
-        return ByteBuffer.allocate(HEAD + bytes.length)
+        return ByteBuffer.allocate(HEADER_BYTES + bytes.length)
                 .putInt(bytes.length)
                 .putInt(checksum(bytes))
                 .put(bytes)
@@ -22,22 +22,22 @@
     /** Reads frames up to the first that is incomplete or corrupt; returns the number of bytes of valid frames. */
     static int read(byte[] file, Consumer<byte[]> frames) {
         ByteBuffer buffer = ByteBuffer.wrap(file);
-        int good = 0;
-        while (buffer.remaining() >= HEAD) {
+        int validBytes = 0;
+        while (buffer.remaining() >= HEADER_BYTES) {
             int length = buffer.getInt();
             int checksum = buffer.getInt();
-            if (length <= 0 || length > MAX_BYTES || length > buffer.remaining()) {
-                return good;
+            if (length <= 0 || length > MAX_PAYLOAD_BYTES || length > buffer.remaining()) {
+                return validBytes;
             }
             byte[] bytes = new byte[length];
             buffer.get(bytes);
             if (checksum(bytes) != checksum) {
-                return good;
+                return validBytes;
             }
             frames.accept(bytes);
-            good = buffer.position();
+            validBytes = buffer.position();
         }
-        return good;
+        return validBytes;
     }
 
     private static int checksum(byte[] bytes) {
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/HeldRecords.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/RecordIndex.java
@@ -14,9 +14,9 @@
 import org.parsleydrift.kernel.codec.MessagePackFrames;
 
 /** In-memory index of the turns and grants in the log of a store VM. Confined to one event loop. */
-final class HeldRecords {
+final class RecordIndex {
     /** Factor on the requested retention, as a margin for clock skew between VMs. */
-    private static final int KEEP_FACTOR = 3;
+    private static final int RETENTION_FACTOR = 3;
 
     private static final byte TURN = 1;
     /** A grant in the earlier on-disk format, which an upgraded VM must still read. */
@@ -26,23 +26,23 @@
 
     private final Map<String, Turn> turns = new HashMap<>();
     private final Map<String, Map<String, Grant>> ledgers = new HashMap<>();
-    private final Deque<Expiry> expiries = new ArrayDeque<>();
-    private final Map<String, Long> neededUntil = new HashMap<>();
+    private final Deque<Expiry> expiryQueue = new ArrayDeque<>();
+    private final Map<String, Long> expiryMillis = new HashMap<>();
 
-    private record Expiry(String key, boolean turn, long atMillis) {}
+    private record Expiry(String key, boolean isTurn, long atMillis) {}
 
     /** Adds a record read from disk, unless it has expired. */
     void replay(DurableLog.Entry entry, long nowMillis) {
-        long until = entry.neededUntilMillis();
-        if (until < nowMillis) {
+        long expiresAtMillis = entry.expiresAtMillis();
+        if (expiresAtMillis < nowMillis) {
             return;
         }
         MessagePackFrames.decode(entry.bytes(), in -> {
             byte type = in.unpackByte();
             switch (type) {
-                case TURN -> keep(ConversationCodec.turn(in), until);
-                case GRANT_WITHOUT_PART -> keep(ConversationCodec.grantWithoutPart(in), until);
-                case GRANT -> keep(ConversationCodec.grant(in), until);
+                case TURN -> add(ConversationCodec.turn(in), expiresAtMillis);
+                case GRANT_WITHOUT_PART -> add(ConversationCodec.grantWithoutPart(in), expiresAtMillis);
+                case GRANT -> add(ConversationCodec.grant(in), expiresAtMillis);
                 default -> throw new IOException("unknown record type " + type);
             }
             return null;
@@ -50,15 +50,18 @@
     }
 
     /** Adds records and returns the log entries to append for those that were new or changed. */
-    List<DurableLog.Entry> keep(Collection<Grant> grants, Collection<Turn> turnsToKeep, long keepMillis, long now) {
-        long until = now + KEEP_FACTOR * keepMillis;
+    List<DurableLog.Entry> add(
+            Collection<Grant> grants, Collection<Turn> newTurns, long retentionMillis, long nowMillis) {
+        long expiresAtMillis = nowMillis + RETENTION_FACTOR * retentionMillis;
         List<DurableLog.Entry> entries = new ArrayList<>();
-        grants.stream().filter(grant -> keep(grant, until)).forEach(grant -> entries.add(entry(grant, until)));
-        turnsToKeep.forEach(turn -> {
-            if (keep(turn, until)) {
-                entries.add(entry(turn, until));
+        grants.stream()
+                .filter(grant -> add(grant, expiresAtMillis))
+                .forEach(grant -> entries.add(entry(grant, expiresAtMillis)));
+        newTurns.forEach(turn -> {
+            if (add(turn, expiresAtMillis)) {
+                entries.add(entry(turn, expiresAtMillis));
             }
-            prolong(turn.previous(), now + keepMillis, until, entries);
+            extendExpiry(turn.previous(), nowMillis + retentionMillis, expiresAtMillis, entries);
         });
         return entries;
     }
@@ -99,12 +102,12 @@
 
     /** Removes expired records. */
     void expire(long nowMillis) {
-        while (!expiries.isEmpty() && expiries.peekFirst().atMillis() < nowMillis) {
-            Expiry due = expiries.pollFirst();
-            Long until = neededUntil.get(due.key());
-            if (until != null && until < nowMillis) {
-                neededUntil.remove(due.key());
-                if (due.turn()) {
+        while (!expiryQueue.isEmpty() && expiryQueue.peekFirst().atMillis() < nowMillis) {
+            Expiry due = expiryQueue.pollFirst();
+            Long expiresAtMillis = expiryMillis.get(due.key());
+            if (expiresAtMillis != null && expiresAtMillis < nowMillis) {
+                expiryMillis.remove(due.key());
+                if (due.isTurn()) {
                     turns.remove(due.key());
                 } else {
                     ledgers.remove(due.key());
@@ -113,53 +116,54 @@
         }
     }
 
-    private boolean keep(Turn turn, long until) {
-        note(turn.id(), true, until);
+    private boolean add(Turn turn, long expiresAtMillis) {
+        recordExpiry(turn.id(), true, expiresAtMillis);
         return turns.putIfAbsent(turn.id(), turn) == null;
     }
 
-    private boolean keep(Grant grant, long until) {
-        note(grant.program(), false, until);
+    private boolean add(Grant grant, long expiresAtMillis) {
+        recordExpiry(grant.program(), false, expiresAtMillis);
         Map<String, Grant> ledger = ledgers.computeIfAbsent(grant.program(), any -> new HashMap<>());
-        Grant before = ledger.get(grant.request());
+        Grant existing = ledger.get(grant.request());
         // Comparing only the states keeps the replay of large logs fast.
-        if (before != null && !grant.laterThan(before)) {
+        if (existing != null && !grant.isLaterThan(existing)) {
             return false;
         }
         ledger.put(grant.request(), grant);
         return true;
     }
 
-    private void note(String key, boolean turn, long until) {
-        neededUntil.merge(key, until, Math::max);
-        expiries.addLast(new Expiry(key, turn, until));
+    private void recordExpiry(String key, boolean isTurn, long expiresAtMillis) {
+        expiryMillis.merge(key, expiresAtMillis, Math::max);
+        expiryQueue.addLast(new Expiry(key, isTurn, expiresAtMillis));
     }
 
     /** Extends the expiry of the turns of a chain that would expire before its last turn, by appending them again. */
-    private void prolong(String id, long leastUntil, long until, List<DurableLog.Entry> entries) {
+    private void extendExpiry(
+            String id, long minExpiresAtMillis, long expiresAtMillis, List<DurableLog.Entry> entries) {
         chain(id).stream()
-                .filter(turn -> neededUntil.getOrDefault(turn.id(), 0L) < leastUntil)
+                .filter(turn -> expiryMillis.getOrDefault(turn.id(), 0L) < minExpiresAtMillis)
                 .forEach(turn -> {
-                    note(turn.id(), true, until);
-                    entries.add(entry(turn, until));
+                    recordExpiry(turn.id(), true, expiresAtMillis);
+                    entries.add(entry(turn, expiresAtMillis));
                 });
     }
 
-    private static DurableLog.Entry entry(Turn turn, long until) {
+    private static DurableLog.Entry entry(Turn turn, long expiresAtMillis) {
         return new DurableLog.Entry(
                 MessagePackFrames.encode(out -> {
                     out.packByte(TURN);
                     ConversationCodec.turn(out, turn);
                 }),
-                until);
+                expiresAtMillis);
     }
 
-    private static DurableLog.Entry entry(Grant grant, long until) {
+    private static DurableLog.Entry entry(Grant grant, long expiresAtMillis) {
         return new DurableLog.Entry(
                 MessagePackFrames.encode(out -> {
                     out.packByte(GRANT);
                     ConversationCodec.grant(out, grant);
                 }),
-                until);
+                expiresAtMillis);
     }
 }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaCalls.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaCalls.java
@@ -36,22 +36,22 @@
     private static final byte REQUEST = 1;
     private static final byte REPLY = 2;
     /** A request that the receiving peer relays to a store VM. */
-    private static final byte HAND_ON = 3;
+    private static final byte RELAY_REQUEST = 3;
     /** A request relayed by a peer, to which the reply is returned. */
-    private static final byte HANDED_ON = 4;
+    private static final byte RELAYED_REQUEST = 4;
     /** A reply that the receiving peer relays to the requester. */
-    private static final byte HAND_BACK = 5;
+    private static final byte RELAY_REPLY = 5;
     /** A reply relayed by a peer. */
-    private static final byte HANDED_BACK = 6;
+    private static final byte RELAYED_REPLY = 6;
 
     private final EventLoop loop;
     private final FrameSender frames;
     private final String ownAddress;
-    private final Map<Long, Waiting> waiting = new HashMap<>();
-    private final Map<String, Long> brokenSinceProbe = new HashMap<>();
-    private final Map<String, Double> readNanos = new HashMap<>();
+    private final Map<Long, PendingRequest> pending = new HashMap<>();
+    private final Map<String, Long> brokenPathProbeNanos = new HashMap<>();
+    private final Map<String, Double> meanReadNanos = new HashMap<>();
     private final Handler handler;
-    private Supplier<Optional<String>> peer = Optional::empty;
+    private Supplier<Optional<String>> relayFinder = Optional::empty;
     private long lastCorrelation;
 
     /**
@@ -86,7 +86,7 @@
      * @param finder returns the address of such a peer, or empty if there is none
      */
     public void setRelayFinder(Supplier<Optional<String>> finder) {
-        peer = finder;
+        relayFinder = finder;
     }
 
     /**
@@ -95,8 +95,8 @@
      * @param address the address of a store VM
      * @return false from a timeout of a request until the next direct reply
      */
-    public boolean reaches(String address) {
-        return !brokenSinceProbe.containsKey(address);
+    public boolean isReachable(String address) {
+        return !brokenPathProbeNanos.containsKey(address);
     }
 
     /**
@@ -107,7 +107,7 @@
      * @return an exponentially weighted mean in ns; 0 if no read was answered yet
      */
     double readLatencyNanos(String address) {
-        return readNanos.getOrDefault(address, 0.0);
+        return meanReadNanos.getOrDefault(address, 0.0);
     }
 
     /**
@@ -115,25 +115,27 @@
      *
      * @param address the address of the store VM
      * @param request the request
-     * @param patience how long to wait for the reply
+     * @param timeout how long to wait for the reply
      * @return completes with the reply, or with a StepException on a timeout
      */
-    public CompletableFuture<ReplicaReply> ask(String address, ReplicaRequest request, Duration patience) {
+    public CompletableFuture<ReplicaReply> send(String address, ReplicaRequest request, Duration timeout) {
         long correlation = ++lastCorrelation;
         CompletableFuture<ReplicaReply> reply = new CompletableFuture<>();
-        LoopTimer timer = loop.schedule(patience, () -> gaveUp(address, correlation, patience));
-        boolean read = request instanceof ReplicaRequest.Read;
-        waiting.put(correlation, new Waiting(reply, timer, read, loop.clock().nanos()));
+        LoopTimer timer = loop.schedule(timeout, () -> onTimeout(address, correlation, timeout));
+        boolean isRead = request instanceof ReplicaRequest.Read;
+        pending.put(
+                correlation,
+                new PendingRequest(reply, timer, isRead, loop.clock().nanos()));
         byte[] frame = encode(out -> {
             out.packByte(REQUEST).packLong(correlation).packString(ownAddress);
             ConversationCodec.request(out, request);
         });
-        Optional<String> way = reaches(address) ? Optional.empty() : peer.get();
-        way.ifPresent(via -> frames.send(via, encode(out -> {
-            out.packByte(HAND_ON).packString(address);
+        Optional<String> relay = isReachable(address) ? Optional.empty() : relayFinder.get();
+        relay.ifPresent(via -> frames.send(via, encode(out -> {
+            out.packByte(RELAY_REQUEST).packString(address);
             bytes(out, frame);
         })));
-        if (way.isEmpty() || probeIsDue(address)) {
+        if (relay.isEmpty() || isProbeDue(address)) {
             frames.send(address, frame);
         }
         return reply;
@@ -149,105 +151,106 @@
         MessagePackFrames.decode(frame, in -> {
             byte type = in.unpackByte();
             switch (type) {
-                case REQUEST -> takeRequest(in, Optional.empty());
-                case REPLY -> takeReply(in, true);
-                case HAND_ON -> handOn(in.unpackString(), bytes(in));
-                case HANDED_ON -> takeHandedOn(in.unpackString(), bytes(in));
-                case HAND_BACK -> handBack(in.unpackString(), bytes(in));
-                case HANDED_BACK -> takeHandedBack(bytes(in));
+                case REQUEST -> receiveRequest(in, Optional.empty());
+                case REPLY -> receiveReply(in, true);
+                case RELAY_REQUEST -> relayRequest(in.unpackString(), bytes(in));
+                case RELAYED_REQUEST -> receiveRelayedRequest(in.unpackString(), bytes(in));
+                case RELAY_REPLY -> relayReply(in.unpackString(), bytes(in));
+                case RELAYED_REPLY -> receiveRelayedReply(bytes(in));
                 default -> throw new IOException("unknown frame type " + type);
             }
             return null;
         });
     }
 
-    private void gaveUp(String address, long correlation, Duration patience) {
-        Waiting known = waiting.remove(correlation);
-        if (known == null) {
+    private void onTimeout(String address, long correlation, Duration timeout) {
+        PendingRequest expired = pending.remove(correlation);
+        if (expired == null) {
             return;
         }
-        if (brokenSinceProbe.putIfAbsent(address, loop.clock().nanos()) == null) {
+        if (brokenPathProbeNanos.putIfAbsent(address, loop.clock().nanos()) == null) {
             LOG.log(
                     Logger.Level.INFO,
                     () -> LogLine.of("store_path_broken")
                             .with("store", address)
-                            .with("waited_ms", patience.toMillis())
+                            .with("waited_ms", timeout.toMillis())
                             .toString());
         }
         frames.reset(address);
-        known.reply()
+        expired.reply()
                 .completeExceptionally(
-                        new StepException(Step.COMMIT, address, "no reply within " + patience.toMillis() + " ms"));
+                        new StepException(Step.COMMIT, address, "no reply within " + timeout.toMillis() + " ms"));
     }
 
-    private boolean probeIsDue(String address) {
+    private boolean isProbeDue(String address) {
         long now = loop.clock().nanos();
-        boolean due = now - brokenSinceProbe.getOrDefault(address, now) > PROBE_PERIOD.toNanos();
-        if (due) {
-            brokenSinceProbe.put(address, now);
+        boolean isDue = now - brokenPathProbeNanos.getOrDefault(address, now) > PROBE_PERIOD.toNanos();
+        if (isDue) {
+            brokenPathProbeNanos.put(address, now);
         }
-        return due;
+        return isDue;
     }
 
-    private void takeRequest(MessageUnpacker in, Optional<String> via) throws IOException {
+    private void receiveRequest(MessageUnpacker in, Optional<String> via) throws IOException {
         long correlation = in.unpackLong();
         String from = in.unpackString();
         ReplicaRequest request = ConversationCodec.request(in);
         handler.handle(request)
-                .whenComplete((reply, failure) -> loop.execute(() -> answer(from, via, correlation, reply, failure)));
+                .whenComplete(
+                        (reply, failure) -> loop.execute(() -> sendReply(from, via, correlation, reply, failure)));
     }
 
-    private void takeReply(MessageUnpacker in, boolean direct) throws IOException {
+    private void receiveReply(MessageUnpacker in, boolean isDirect) throws IOException {
         long correlation = in.unpackLong();
         String from = in.unpackString();
-        if (direct && brokenSinceProbe.remove(from) != null) {
+        if (isDirect && brokenPathProbeNanos.remove(from) != null) {
             LOG.log(
                     Logger.Level.INFO,
                     () -> LogLine.of("store_path_restored").with("store", from).toString());
         }
-        Waiting known = waiting.remove(correlation);
-        if (known != null) {
-            known.timer().cancel();
-            if (known.read()) {
-                noteLatency(from, (double) (loop.clock().nanos() - known.askedNanos()));
+        PendingRequest request = pending.remove(correlation);
+        if (request != null) {
+            request.timer().cancel();
+            if (request.isRead()) {
+                recordReadLatency(from, (double) (loop.clock().nanos() - request.sentNanos()));
             }
-            known.reply().complete(ConversationCodec.reply(in));
+            request.reply().complete(ConversationCodec.reply(in));
         }
     }
 
-    private void handOn(String to, byte[] request) {
+    private void relayRequest(String to, byte[] request) {
         frames.send(to, encode(out -> {
-            out.packByte(HANDED_ON).packString(ownAddress);
+            out.packByte(RELAYED_REQUEST).packString(ownAddress);
             bytes(out, request);
         }));
     }
 
-    private void takeHandedOn(String via, byte[] request) {
+    private void receiveRelayedRequest(String via, byte[] request) {
         MessagePackFrames.decode(request, in -> {
             if (in.unpackByte() == REQUEST) {
-                takeRequest(in, Optional.of(via));
+                receiveRequest(in, Optional.of(via));
             }
             return null;
         });
     }
 
-    private void handBack(String to, byte[] reply) {
+    private void relayReply(String to, byte[] reply) {
         frames.send(to, encode(out -> {
-            out.packByte(HANDED_BACK);
+            out.packByte(RELAYED_REPLY);
             bytes(out, reply);
         }));
     }
 
-    private void takeHandedBack(byte[] reply) {
+    private void receiveRelayedReply(byte[] reply) {
         MessagePackFrames.decode(reply, in -> {
             if (in.unpackByte() == REPLY) {
-                takeReply(in, false);
+                receiveReply(in, false);
             }
             return null;
         });
     }
 
-    private void answer(String to, Optional<String> via, long correlation, ReplicaReply reply, Throwable failure) {
+    private void sendReply(String to, Optional<String> via, long correlation, ReplicaReply reply, Throwable failure) {
         if (failure != null) {
             // No reply is sent; the requester times out and retries.
             LOG.log(
@@ -266,7 +269,7 @@
             frames.send(to, frame);
         } else {
             frames.send(via.get(), encode(out -> {
-                out.packByte(HAND_BACK).packString(to);
+                out.packByte(RELAY_REPLY).packString(to);
                 bytes(out, frame);
             }));
         }
@@ -284,9 +287,10 @@
         return in.readPayload(in.unpackBinaryHeader());
     }
 
-    private void noteLatency(String address, double nanos) {
-        readNanos.merge(address, nanos, (known, newest) -> known + LATENCY_WEIGHT * (newest - known));
+    private void recordReadLatency(String address, double nanos) {
+        meanReadNanos.merge(address, nanos, (mean, sample) -> mean + LATENCY_WEIGHT * (sample - mean));
     }
 
-    private record Waiting(CompletableFuture<ReplicaReply> reply, LoopTimer timer, boolean read, long askedNanos) {}
+    private record PendingRequest(
+            CompletableFuture<ReplicaReply> reply, LoopTimer timer, boolean isRead, long sentNanos) {}
 }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaReply.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaReply.java
@@ -36,18 +36,18 @@
     /**
      * Lists all records that the member holds.
      *
-     * @param turns the IDs of its turns
+     * @param turnIds the IDs of its turns
      * @param grants its grants
      */
-    record Keys(List<String> turns, List<Grant> grants) implements ReplicaReply {}
+    record RecordList(List<String> turnIds, List<Grant> grants) implements ReplicaReply {}
 
     /**
      * The epochs that the member has adopted and completed.
      *
      * @param name the VM name
-     * @param disk the random ID of the data on its disk
+     * @param diskId the random ID of the data on its disk
      * @param adoptedEpoch the epoch that it has adopted; 0 for none
      * @param completeEpoch the latest epoch at which it held all committed records of earlier epochs; 0 for none
      */
-    record Progress(String name, String disk, long adoptedEpoch, long completeEpoch) implements ReplicaReply {}
+    record Progress(String name, String diskId, long adoptedEpoch, long completeEpoch) implements ReplicaReply {}
 }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaRequest.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaRequest.java
@@ -9,11 +9,11 @@
      * Stores grants and a turn; answered once they are on disk.
      *
      * @param epoch the epoch of the sender
-     * @param keepMillis the retention period in ms
+     * @param retentionMillis the retention period in ms
      * @param grants the grants
      * @param turn the turn, if there is one
      */
-    record Write(long epoch, long keepMillis, List<Grant> grants, Optional<Turn> turn) implements ReplicaRequest {}
+    record Write(long epoch, long retentionMillis, List<Grant> grants, Optional<Turn> turn) implements ReplicaRequest {}
 
     /**
      * Reads a program's grants and the chain that ends with a turn.
@@ -21,16 +21,16 @@
      * @param epoch the epoch of the sender
      * @param program the program; empty for none
      * @param lastTurn the ID of the last turn of the chain; empty for none
-     * @param texts whether to return the turns with their text rather than only their IDs
+     * @param includesTexts whether to return the turns with their text rather than only their IDs
      */
-    record Read(long epoch, String program, String lastTurn, boolean texts) implements ReplicaRequest {}
+    record Read(long epoch, String program, String lastTurn, boolean includesTexts) implements ReplicaRequest {}
 
     /**
      * Reads single turns. Valid at every epoch, since turns are immutable.
      *
-     * @param turns the IDs of the turns
+     * @param turnIds the IDs of the turns
      */
-    record Fetch(List<String> turns) implements ReplicaRequest {}
+    record Fetch(List<String> turnIds) implements ReplicaRequest {}
 
     /**
      * Requests a list of all records, from which the sender synchronizes for a new epoch. The receiver adopts the set first,
@@ -38,12 +38,12 @@
      *
      * @param set the set at the new epoch
      */
-    record TakeOver(StoreSet set) implements ReplicaRequest {}
+    record ListRecords(StoreSet set) implements ReplicaRequest {}
 
     /**
      * Heartbeat that may carry a newer set for the member to adopt; answered with {@link ReplicaReply.Progress}.
      *
      * @param set the newest set known to the sender, or empty if the member already has it
      */
-    record Tell(Optional<StoreSet> set) implements ReplicaRequest {}
+    record Heartbeat(Optional<StoreSet> set) implements ReplicaRequest {}
 }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreMember.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreMember.java
@@ -5,7 +5,7 @@
  * different member, because the records that it acknowledged before are lost.
  *
  * @param name the VM name
- * @param disk the random ID of the data on its disk
+ * @param diskId the random ID of the data on its disk
  * @param address the address at which other processes reach it
  */
-public record StoreMember(String name, String disk, String address) {}
+public record StoreMember(String name, String diskId, String address) {}
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSet.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSet.java
@@ -42,18 +42,18 @@
      *
      * @return the smallest number that intersects every write quorum of the preceding epoch; 0 if there was none
      */
-    public int takeOverQuorum() {
+    public int syncQuorum() {
         return readQuorum(previous.size());
     }
 
     /**
      * Finds a member by its disk ID.
      *
-     * @param disk the disk ID
+     * @param diskId the disk ID
      * @return the member, or empty if none has this disk ID
      */
-    public Optional<StoreMember> byDisk(String disk) {
-        return members.stream().filter(each -> each.disk().equals(disk)).findAny();
+    public Optional<StoreMember> memberByDiskId(String diskId) {
+        return members.stream().filter(each -> each.diskId().equals(diskId)).findAny();
     }
 
     /**
@@ -62,7 +62,7 @@
      * @param next the members of the successor
      * @return the set at the next epoch, with this set's members as the previous ones
      */
-    public StoreSet change(List<StoreMember> next) {
+    public StoreSet withMembers(List<StoreMember> next) {
         return new StoreSet(epoch + 1, next, members);
     }
 
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetController.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetController.java
@@ -27,17 +27,17 @@
     /** Name of the shared object that holds the set. */
     public static final String SET_NAME = "set";
 
-    private static final Duration ROUND = Duration.ofMillis(150);
+    private static final Duration RECONCILE_PERIOD = Duration.ofMillis(150);
     /** Long enough that a slow fsync is not mistaken for a failed member. */
-    private static final Duration PATIENCE = Duration.ofMillis(400);
+    private static final Duration HEARTBEAT_TIMEOUT = Duration.ofMillis(400);
     /** Time without a reply after which a member may be replaced; longer than a process restart. */
-    static final Duration SILENT_LONG = Duration.ofMillis(1500);
+    static final Duration FAILURE_TIMEOUT = Duration.ofMillis(1500);
     /** Failure timeout in a set of two, which is shorter because the remaining member has no quorum. */
-    private static final Duration SILENT_OF_TWO = Duration.ofMillis(700);
+    private static final Duration PAIR_FAILURE_TIMEOUT = Duration.ofMillis(700);
     /** Rounds per poll of a large set while all of its members are complete. */
-    private static final int QUIET_ROUNDS = 2;
+    private static final int ROUNDS_PER_IDLE_POLL = 2;
     /** Rounds per poll on a standby VM while all members are complete. */
-    private static final int STANDBY_ROUNDS = 3;
+    private static final int ROUNDS_PER_STANDBY_POLL = 3;
 
     private final EventLoop loop;
     private final SharedObjects objects;
@@ -46,18 +46,18 @@
     private final String name;
     private final String address;
     private final boolean firstStart;
-    private final MemberWatch members = new MemberWatch();
+    private final MemberMonitor monitor = new MemberMonitor();
     private final int toleratedLosses;
-    private final int mostMembers;
-    private final Set<String> retiring = new HashSet<>();
-    private final Set<String> reported = new HashSet<>();
-    private Optional<StoreSet> newest = Optional.empty();
+    private final int maxMembers;
+    private final Set<String> retiringVms = new HashSet<>();
+    private final Set<String> reportedVms = new HashSet<>();
+    private Optional<StoreSet> newestSet = Optional.empty();
     private OptionalLong revision = OptionalLong.empty();
-    private boolean listed;
-    private boolean writing;
-    private boolean refreshing;
+    private boolean isListed;
+    private boolean isWriting;
+    private boolean isRefreshing;
     private int rounds;
-    private Consumer<Boolean> watching = follows -> {};
+    private Consumer<Boolean> watchListener = isWatcher -> {};
 
     /**
      * Creates a controller for one store VM.
@@ -70,7 +70,7 @@
      * @param address the address at which other processes reach this VM
      * @param firstStart whether the system starts for the first time; only then an initial set may be created
      * @param toleratedLosses number of disks that may be lost at once
-     * @param mostMembers maximum size of the set; further VMs are standbys
+     * @param maxMembers maximum size of the set; further VMs are standbys
      */
     public StoreSetController(
             EventLoop loop,
@@ -81,7 +81,7 @@
             String address,
             boolean firstStart,
             int toleratedLosses,
-            int mostMembers) {
+            int maxMembers) {
         this.loop = loop;
         this.objects = objects;
         this.replica = replica;
@@ -90,31 +90,31 @@
         this.address = address;
         this.firstStart = firstStart;
         this.toleratedLosses = toleratedLosses;
-        this.mostMembers = mostMembers;
+        this.maxMembers = maxMembers;
     }
 
     /** Starts the periodic reconciliation. */
     public void start() {
-        loop.every(ROUND, this::round);
+        loop.every(RECONCILE_PERIOD, this::reconcile);
     }
 
     /**
      * Handles changes of the shared object that holds the set.
      *
-     * @param news the changed objects
+     * @param changes the changed objects
      */
-    public void onSetChanged(List<SharedObject> news) {
-        listed = true;
-        news.stream().filter(each -> !each.deleted()).forEach(this::takeIn);
+    public void onSetChanged(List<SharedObject> changes) {
+        isListed = true;
+        changes.stream().filter(each -> !each.deleted()).forEach(this::applySet);
     }
 
     /**
      * Handles requested and withdrawn retirements of VMs.
      *
-     * @param news the changed objects
+     * @param changes the changed objects
      */
-    public void onRetirementsChanged(List<SharedObject> news) {
-        news.forEach(each -> {
+    public void onRetirementsChanged(List<SharedObject> changes) {
+        changes.forEach(each -> {
             LOG.log(
                     Logger.Level.INFO,
                     () -> LogLine.of(each.deleted() ? "retirement_withdrawn" : "retirement_asked")
@@ -122,23 +122,23 @@
                             .with("revision", each.revision())
                             .toString());
             if (each.deleted()) {
-                retiring.remove(each.name());
-                reported.remove(each.name());
+                retiringVms.remove(each.name());
+                reportedVms.remove(each.name());
             } else {
-                retiring.add(each.name());
+                retiringVms.add(each.name());
             }
         });
     }
 
-    private void takeIn(SharedObject object) {
+    private void applySet(SharedObject object) {
         try {
             StoreSet set = StoreSetJson.read(object.content());
-            if (newest.isEmpty() || set.epoch() > newest.get().epoch()) {
-                newest = Optional.of(set);
+            if (newestSet.isEmpty() || set.epoch() > newestSet.get().epoch()) {
+                newestSet = Optional.of(set);
                 revision = OptionalLong.of(object.revision());
-                members.setChanged();
+                monitor.clearCompleteEpochs();
                 replica.adopt(set);
-                askMembers(set);
+                pollMembers(set);
             }
         } catch (StepException fault) {
             LOG.log(
@@ -151,84 +151,93 @@
      * Sets the listener that is called in each round with whether this VM should watch the shared object. Only a few members
      * watch it; the others receive new sets from the coordinator.
      *
-     * @param follows the listener
+     * @param listener the listener
      */
-    public void setWatchListener(Consumer<Boolean> follows) {
-        watching = follows;
+    public void setWatchListener(Consumer<Boolean> listener) {
+        watchListener = listener;
     }
 
-    private void round() {
-        watching.accept(newest.isEmpty()
-                || members.watches(
-                        newest.get(), replica.disk(), retiring, loop.clock().nanos()));
-        newest.ifPresent(this::askMembersInTurn);
-        if (!listed || writing) {
+    private void reconcile() {
+        watchListener.accept(newestSet.isEmpty()
+                || monitor.isWatcher(
+                        newestSet.get(),
+                        replica.diskId(),
+                        retiringVms,
+                        loop.clock().nanos()));
+        newestSet.ifPresent(this::pollMembersIfDue);
+        if (!isListed || isWriting) {
             return;
         }
-        if (newest.isEmpty()) {
+        if (newestSet.isEmpty()) {
             if (firstStart) {
                 write(new StoreSet(1, List.of(self()), List.of()), OptionalLong.empty());
             }
             return;
         }
-        SetChange.View view = view(newest.get());
-        SetChange.decide(view).ifPresent(next -> write(next, revision));
+        MembershipPolicy.View view = view(newestSet.get());
+        MembershipPolicy.nextSet(view).ifPresent(next -> write(next, revision));
         reportRetirements(view);
     }
 
-    private SetChange.View view(StoreSet set) {
+    private MembershipPolicy.View view(StoreSet set) {
         long now = loop.clock().nanos();
-        members.progress(replica.disk(), replica.complete() ? replica.progress().completeEpoch() : 0L, now);
-        Duration limit = set.members().size() == 2 ? SILENT_OF_TWO : SILENT_LONG;
-        Set<String> silent = disks(set, each -> !each.equals(replica.disk()) && members.silent(each, now, limit));
-        return new SetChange.View(
+        monitor.recordProgress(
+                replica.diskId(), replica.isComplete() ? replica.progress().completeEpoch() : 0L, now);
+        Duration timeout = set.members().size() == 2 ? PAIR_FAILURE_TIMEOUT : FAILURE_TIMEOUT;
+        Set<String> unresponsive =
+                diskIds(set, each -> !each.equals(replica.diskId()) && monitor.isUnresponsive(each, now, timeout));
+        return new MembershipPolicy.View(
                 self(),
                 set,
-                disks(set, each -> members.complete(each, set.epoch())),
-                silent,
-                Set.copyOf(retiring),
+                diskIds(set, each -> monitor.isComplete(each, set.epoch())),
+                unresponsive,
+                Set.copyOf(retiringVms),
                 toleratedLosses,
-                mostMembers);
+                maxMembers);
     }
 
-    private static Set<String> disks(StoreSet set, Predicate<String> wanted) {
-        return set.members().stream().map(StoreMember::disk).filter(wanted).collect(Collectors.toSet());
+    private static Set<String> diskIds(StoreSet set, Predicate<String> filter) {
+        return set.members().stream().map(StoreMember::diskId).filter(filter).collect(Collectors.toSet());
     }
 
     /** Polls the members: less often while all are complete, and least often on standbys, which poll every member. */
-    private void askMembersInTurn(StoreSet set) {
+    private void pollMembersIfDue(StoreSet set) {
         rounds++;
-        boolean quiet = set.members().stream().allMatch(each -> members.complete(each.disk(), set.epoch()));
-        boolean standsBy = set.members().size() >= mostMembers
-                && set.byDisk(replica.disk()).isEmpty();
-        int turn = standsBy ? STANDBY_ROUNDS : set.members().size() <= MemberWatch.ALL_ASK_ALL ? 1 : QUIET_ROUNDS;
-        if (!quiet || rounds % turn == 0) {
-            askMembers(set);
+        boolean isIdle = set.members().stream().allMatch(each -> monitor.isComplete(each.diskId(), set.epoch()));
+        boolean isStandby = set.members().size() >= maxMembers
+                && set.memberByDiskId(replica.diskId()).isEmpty();
+        int roundsPerPoll = isStandby
+                ? ROUNDS_PER_STANDBY_POLL
+                : set.members().size() <= MemberMonitor.MAX_FULL_POLL_SIZE ? 1 : ROUNDS_PER_IDLE_POLL;
+        if (!isIdle || rounds % roundsPerPoll == 0) {
+            pollMembers(set);
         }
     }
 
-    private void askMembers(StoreSet set) {
+    private void pollMembers(StoreSet set) {
         long now = loop.clock().nanos();
-        members.asked(set, replica.disk(), retiring, now).forEach(each -> {
+        monitor.selectPollTargets(set, replica.diskId(), retiringVms, now).forEach(each -> {
             // A member that is complete at this epoch already has the set.
-            Optional<StoreSet> told = members.complete(each.disk(), set.epoch()) ? Optional.empty() : newest;
-            calls.ask(each.address(), new ReplicaRequest.Tell(told), PATIENCE).whenComplete((reply, failure) -> {
-                if (reply instanceof ReplicaReply.Progress progress) {
-                    members.progress(
-                            progress.disk(),
-                            progress.completeEpoch(),
-                            loop.clock().nanos());
-                    learnNewer(progress.adoptedEpoch());
-                }
-            });
+            Optional<StoreSet> announced =
+                    monitor.isComplete(each.diskId(), set.epoch()) ? Optional.empty() : newestSet;
+            calls.send(each.address(), new ReplicaRequest.Heartbeat(announced), HEARTBEAT_TIMEOUT)
+                    .whenComplete((reply, failure) -> {
+                        if (reply instanceof ReplicaReply.Progress progress) {
+                            monitor.recordProgress(
+                                    progress.diskId(),
+                                    progress.completeEpoch(),
+                                    loop.clock().nanos());
+                            refreshIfNewer(progress.adoptedEpoch());
+                        }
+                    });
         });
     }
 
-    private void write(StoreSet next, OptionalLong condition) {
-        writing = true;
-        objects.put(ObjectKind.STORE_SET, SET_NAME, condition, StoreSetJson.write(next))
+    private void write(StoreSet next, OptionalLong expectedRevision) {
+        isWriting = true;
+        objects.put(ObjectKind.STORE_SET, SET_NAME, expectedRevision, StoreSetJson.write(next))
                 .whenComplete((written, failure) -> loop.execute(() -> {
-                    writing = false;
+                    isWriting = false;
                     LOG.log(Logger.Level.INFO, () -> {
                         LogLine line = LogLine.of("store_set_write")
                                 .with("epoch", next.epoch())
@@ -241,7 +250,7 @@
                         return (failure == null ? line : line.failure(failure)).toString();
                     });
                     if (written != null) {
-                        takeIn(written);
+                        applySet(written);
                     } else {
                         refresh();
                     }
@@ -249,32 +258,34 @@
     }
 
     /** Reads the set if a member reports a newer epoch: a VM that was removed from the set is not sent the new one. */
-    private void learnNewer(long epoch) {
-        if (newest.filter(known -> known.epoch() < epoch).isPresent() && !refreshing) {
+    private void refreshIfNewer(long epoch) {
+        if (newestSet.filter(known -> known.epoch() < epoch).isPresent() && !isRefreshing) {
             refresh();
         }
     }
 
     /** Reads the shared object; after a failed write its state is unknown. */
     private void refresh() {
-        refreshing = true;
+        isRefreshing = true;
         objects.list(ObjectKind.STORE_SET)
                 .whenComplete((list, failure) -> loop.execute(() -> {
-                    refreshing = false;
+                    isRefreshing = false;
                     if (list != null) {
                         onSetChanged(list.objects());
                     }
                 }));
     }
 
-    private void reportRetirements(SetChange.View view) {
-        if (!SetChange.leads(view)) {
+    private void reportRetirements(MembershipPolicy.View view) {
+        if (!MembershipPolicy.isCoordinator(view)) {
             return;
         }
-        Set<String> names = view.set().members().stream().map(StoreMember::name).collect(Collectors.toSet());
-        boolean copied = view.completeMembers().size() == view.set().members().size();
-        retiring.stream()
-                .filter(vm -> !names.contains(vm) && copied && reported.add(vm))
+        Set<String> memberNames =
+                view.set().members().stream().map(StoreMember::name).collect(Collectors.toSet());
+        boolean isReplicated =
+                view.completeDisks().size() == view.set().members().size();
+        retiringVms.stream()
+                .filter(vm -> !memberNames.contains(vm) && isReplicated && reportedVms.add(vm))
                 .toList()
                 .forEach(this::reportComplete);
     }
@@ -289,12 +300,12 @@
                                     .with("ok", failure == null)
                                     .toString());
                     if (failure != null) {
-                        reported.remove(vm);
+                        reportedVms.remove(vm);
                     }
                 }));
     }
 
     private StoreMember self() {
-        return new StoreMember(name, replica.disk(), address);
+        return new StoreMember(name, replica.diskId(), address);
     }
 }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetJson.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetJson.java
@@ -56,7 +56,7 @@
     private static void members(ArrayNode out, List<StoreMember> members) {
         members.forEach(each -> out.addObject()
                 .put("name", each.name())
-                .put("disk", each.disk())
+                .put("disk", each.diskId())
                 .put("address", each.address()));
     }
 
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/SetChangeTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/MembershipPolicyTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 
 /** Decisions on retiring, joining and replaced members. */
-public class SetChangeTest {
+public class MembershipPolicyTest {
     /** A maximum size that no set in this test reaches. */
     private static final int ANY = 100;
 
@@ -19,8 +19,9 @@
                 .map(name -> new StoreMember(name, name, "disk-" + name))
                 .toList();
         StoreSet set = new StoreSet(1, members, List.of());
-        Set<String> disks = members.stream().map(StoreMember::disk).collect(Collectors.toSet());
-        return SetChange.decide(new SetChange.View(members.getLast(), set, disks, Set.of(), Set.of("a"), 1, ANY))
+        Set<String> disks = members.stream().map(StoreMember::diskId).collect(Collectors.toSet());
+        return MembershipPolicy.nextSet(
+                        new MembershipPolicy.View(members.getLast(), set, disks, Set.of(), Set.of("a"), 1, ANY))
                 .map(next -> next.members().size());
     }
 
@@ -35,9 +36,9 @@
                 .map(name -> new StoreMember(name, name, "disk-" + name))
                 .toList();
         StoreSet set = new StoreSet(1, members, List.of());
-        Set<String> disks = members.stream().map(StoreMember::disk).collect(Collectors.toSet());
+        Set<String> disks = members.stream().map(StoreMember::diskId).collect(Collectors.toSet());
         StoreMember standby = new StoreMember("f", "f", "disk-f");
-        return SetChange.decide(new SetChange.View(standby, set, disks, silent, retiring, 2, 5));
+        return MembershipPolicy.nextSet(new MembershipPolicy.View(standby, set, disks, silent, retiring, 2, 5));
     }
 
     private static List<String> names(Optional<StoreSet> set) {
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/OverPeersTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/PeerRelayTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 
 /** Requests of an entry node that is partitioned from the store VMs. */
-public class OverPeersTest {
+public class PeerRelayTest {
     /** Guards against refusing all turns of a node that has lost its direct paths while its peers still have theirs. */
     @Test
     public void turnsBeginAndEndOverAPeer() {
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/QuorumHealthTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/QuorumCircuitBreakerTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 
 /** Handling of turns while the store VMs have no quorum. */
-public class QuorumHealthTest {
+public class QuorumCircuitBreakerTest {
     private static BeginResult begin(StoreCluster cluster, Conversations entry, String request) {
         return cluster.await(entry.begin(StoreCluster.begin("p", request, 1000, 10, "")));
     }
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StandbyTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StandbyTest.java
@@ -43,7 +43,7 @@
         StoreSet set = newest(cluster);
         return set.members().stream()
                 .map(each -> cluster.stores.get(each.name()).replica)
-                .filter(each -> set.byDisk(each.disk()).isPresent() && each.complete())
+                .filter(each -> set.memberByDiskId(each.diskId()).isPresent() && each.isComplete())
                 .count();
     }
 
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreCluster.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreCluster.java
@@ -32,15 +32,15 @@
     private final Map<String, Consumer<byte[]>> receivers = new HashMap<>();
     private final Set<String> cut = new HashSet<>();
     private final Set<String> cutFromStores = new HashSet<>();
-    private final List<Held> held = new ArrayList<>();
-    private Predicate<Held> holds = frame -> false;
+    private final List<Frame> held = new ArrayList<>();
+    private Predicate<Frame> holds = frame -> false;
     private int diskCount;
     private int sentFrames;
     private int toleratedLosses = 1;
     private int mostMembers = Integer.MAX_VALUE;
 
     /** A frame in transit, which a test may delay. */
-    record Held(String from, String to, byte[] bytes) {}
+    record Frame(String from, String to, byte[] bytes) {}
 
     /** One store VM. */
     final class Store {
@@ -154,13 +154,13 @@
     }
 
     /** Delays the frames that match until {@link #letGo}. */
-    void hold(Predicate<Held> which) {
+    void hold(Predicate<Frame> which) {
         holds = which;
     }
 
     void letGo() {
         holds = frame -> false;
-        List<Held> frames = List.copyOf(held);
+        List<Frame> frames = List.copyOf(held);
         held.clear();
         frames.forEach(frame -> deliver(frame.to(), frame.bytes()));
     }
@@ -209,7 +209,7 @@
         return new FrameSender() {
             @Override
             public void send(String address, byte[] frame) {
-                Held sent = new Held(from, address, frame);
+                Frame sent = new Frame(from, address, frame);
                 sentFrames++;
                 boolean toStore = stores.containsKey(address) && cutFromStores.contains(from);
                 boolean fromStore = stores.containsKey(from) && cutFromStores.contains(address);
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetTest.java
@@ -128,7 +128,7 @@
         cluster.stores.get("a").die();
         cluster.wipe("c");
         cluster.run(CATCH_UP);
-        assertTrue(cluster.stores.get("c").replica.complete());
+        assertTrue(cluster.stores.get("c").replica.isComplete());
         cluster.keepTurn(entry, "t2", "t1", "two", "y\n");
         cluster.wipe("b");
         cluster.run(CATCH_UP);
@@ -184,6 +184,6 @@
         cluster.stores.get("a").loop.thaw();
         cluster.run(CATCH_UP);
         assertChain(cluster, "t1", "one");
-        assertTrue(cluster.stores.get("a").replica.complete());
+        assertTrue(cluster.stores.get("a").replica.isComplete());
     }
 }
