--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/FileDurableLogTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/FileDurableLogTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    public void recordsAndStateComeBackInOrder() {
+    public void restoresRecordsAndState() {
         try (FileDurableLog log = new FileDurableLog(folder, time)) {
             log.append(List.of(entry("one"), entry("two"))).join();
             log.saveState("s1".getBytes(StandardCharsets.UTF_8)).join();
@@ -57,7 +57,7 @@
 
     /** Guards against reading a torn record as valid, and against losing records that are appended after it. */
     @Test
-    public void aTornEndIsCutAndLaterRecordsAreReadable() throws IOException {
+    public void ignoresTornTailAndReadsLaterRecords() throws IOException {
         try (FileDurableLog log = new FileDurableLog(folder, time)) {
             log.append(List.of(entry("one"))).join();
         }
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/MembershipPolicyTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/MembershipPolicyTest.java
@@ -12,7 +12,7 @@
 /** Decisions on retiring, joining and replaced members. */
 public class MembershipPolicyTest {
     /** A maximum size that no set in this test reaches. */
-    private static final int ANY = 100;
+    private static final int UNLIMITED = 100;
 
     private static Optional<Integer> membersAfterRetiringA(String... names) {
         List<StoreMember> members = Stream.of(names)
@@ -21,24 +21,24 @@
         StoreSet set = new StoreSet(1, members, List.of());
         Set<String> disks = members.stream().map(StoreMember::diskId).collect(Collectors.toSet());
         return MembershipPolicy.nextSet(
-                        new MembershipPolicy.View(members.getLast(), set, disks, Set.of(), Set.of("a"), 1, ANY))
+                        new MembershipPolicy.View(members.getLast(), set, disks, Set.of(), Set.of("a"), 1, UNLIMITED))
                 .map(next -> next.members().size());
     }
 
     /** Guards against leaving all records on a single disk when one of two members is retired. */
     @Test
-    public void theOtherOfTwoIsNotLeftAlone() {
+    public void keepsBothMembersOfTwo() {
         assertEquals(membersAfterRetiringA("a", "b"), Optional.empty());
     }
 
-    private static Optional<StoreSet> joined(Set<String> silent, Set<String> retiring) {
+    private static Optional<StoreSet> joined(Set<String> unresponsive, Set<String> retiring) {
         List<StoreMember> members = Stream.of("a", "b", "c", "d", "e")
                 .map(name -> new StoreMember(name, name, "disk-" + name))
                 .toList();
         StoreSet set = new StoreSet(1, members, List.of());
         Set<String> disks = members.stream().map(StoreMember::diskId).collect(Collectors.toSet());
         StoreMember standby = new StoreMember("f", "f", "disk-f");
-        return MembershipPolicy.nextSet(new MembershipPolicy.View(standby, set, disks, silent, retiring, 2, 5));
+        return MembershipPolicy.nextSet(new MembershipPolicy.View(standby, set, disks, unresponsive, retiring, 2, 5));
     }
 
     private static List<String> names(Optional<StoreSet> set) {
@@ -47,14 +47,14 @@
 
     /** Guards against a set that grows beyond its maximum size and writes each turn to more disks than needed. */
     @Test
-    public void oneMoreThanAreWantedStandsBy() {
+    public void standbyDoesNotJoinFullSet() {
         assertEquals(joined(Set.of(), Set.of()), Optional.empty());
         assertEquals(names(joined(Set.of("c"), Set.of())), List.of("a", "b", "d", "e", "f"));
     }
 
     /** Guards against a set that tolerates fewer losses while a member is retired. */
     @Test
-    public void aStandbyTakesThePlaceOfAMemberThatIsToBeEmptied() {
+    public void standbyReplacesRetiringMember() {
         assertEquals(names(joined(Set.of(), Set.of("b"))), List.of("a", "c", "d", "e", "f"));
     }
 }
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/MemoryDurableLog.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/MemoryDurableLog.java
@@ -9,17 +9,17 @@
 
 /** In-memory log on virtual time. Writes that were not synced are lost when the process restarts. */
 final class MemoryDurableLog implements DurableLog {
-    private static final Duration SYNC = Duration.ofMillis(2);
+    private static final Duration SYNC_LATENCY = Duration.ofMillis(2);
 
     private final List<Entry> synced = new ArrayList<>();
     private byte[] syncedState;
     private EventLoop loop;
-    private int life;
+    private int incarnation;
 
     /** Opens the log for a new process; pending writes of the previous one are lost. */
     void open(EventLoop newLoop) {
         loop = newLoop;
-        life++;
+        incarnation++;
     }
 
     @Override
@@ -47,9 +47,9 @@
 
     private CompletableFuture<Void> sync(Runnable write) {
         CompletableFuture<Void> durable = new CompletableFuture<>();
-        int mine = life;
-        loop.schedule(SYNC, () -> {
-            if (mine == life) {
+        int startedIn = incarnation;
+        loop.schedule(SYNC_LATENCY, () -> {
+            if (startedIn == incarnation) {
                 write.run();
                 durable.complete(null);
             }
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/NearestReadTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/NearestReadTest.java
@@ -14,7 +14,7 @@
     private static final int LONG_TEXT = 4000;
 
     private static BeginResult begin(StoreCluster cluster, Conversations entry, String request, String previous) {
-        return cluster.await(entry.begin(StoreCluster.begin("p", request, 1000, 10, previous)));
+        return cluster.await(entry.begin(StoreCluster.beginRequest("p", request, 1000, 10, previous)));
     }
 
     private static String chainText(BeginResult result) {
@@ -25,50 +25,51 @@
 
     /** Guards against transferring the text of a chain from more than one member. */
     @Test
-    public void theTextsOfAChainComeFromOneMember() {
+    public void chainTextsComeFromOneMember() {
         StoreCluster cluster = StoreCluster.ofThree();
         Conversations entry = cluster.entry("e");
         cluster.run(Duration.ofMillis(200));
         begin(cluster, entry, "r1", "");
-        cluster.keepTurn(entry, "r1", "", "x".repeat(LONG_TEXT), "");
-        AtomicInteger long1 = new AtomicInteger();
-        cluster.hold(frame -> {
+        cluster.commitTurn(entry, "r1", "", "x".repeat(LONG_TEXT), "");
+        AtomicInteger longFrames = new AtomicInteger();
+        cluster.delayFrames(frame -> {
             if (frame.to().equals("e") && frame.bytes().length > LONG_TEXT) {
-                long1.incrementAndGet();
+                longFrames.incrementAndGet();
             }
             return false;
         });
         assertEquals(chainText(begin(cluster, entry, "r2", "r1")).length(), LONG_TEXT);
-        assertEquals(long1.get(), 1);
+        assertEquals(longFrames.get(), 1);
     }
 
     /** Guards against waiting for the request timeout when one of the nearest members does not answer. */
     @Test
-    public void aSilentMemberCostsAFewMilliseconds() {
-        for (String silent : new String[] {"a", "b", "c"}) {
+    public void unresponsiveMemberDelaysReadBriefly() {
+        for (String unresponsive : new String[] {"a", "b", "c"}) {
             StoreCluster cluster = StoreCluster.ofThree();
             Conversations entry = cluster.entry("e");
             cluster.run(Duration.ofMillis(200));
             begin(cluster, entry, "r1", "");
-            cluster.keepTurn(entry, "r1", "", "said", "");
-            cluster.cut(silent);
-            long begun = cluster.time.nanos();
+            cluster.commitTurn(entry, "r1", "", "said", "");
+            cluster.partition(unresponsive);
+            long startNanos = cluster.time.nanos();
             assertEquals(chainText(begin(cluster, entry, "r2", "r1")), "said");
-            assertTrue(cluster.time.nanos() - begun < Duration.ofMillis(40).toNanos(), "silent " + silent);
+            assertTrue(cluster.time.nanos() - startNanos < Duration.ofMillis(40).toNanos(), "silent " + unresponsive);
         }
     }
 
     /** Guards against denying a committed turn that the nearest member does not hold. */
     @Test
-    public void aTurnThatTheNearestMemberLacksIsFoundAtTheOthers() {
+    public void turnMissingOnNearestMemberIsFound() {
         for (String lacking : new String[] {"a", "b", "c"}) {
             StoreCluster cluster = StoreCluster.ofThree();
             Conversations entry = cluster.entry("e");
             cluster.run(Duration.ofMillis(200));
             begin(cluster, entry, "r1", "");
-            cluster.hold(frame -> frame.to().equals(lacking) && frame.from().equals("e"));
-            cluster.keepTurn(entry, "r1", "", "said", "");
-            cluster.hold(frame -> false);
+            cluster.delayFrames(
+                    frame -> frame.to().equals(lacking) && frame.from().equals("e"));
+            cluster.commitTurn(entry, "r1", "", "said", "");
+            cluster.delayFrames(frame -> false);
             assertEquals(chainText(begin(cluster, entry, "r2", "r1")), "said", "lacking " + lacking);
             BeginResult unknown = begin(cluster, entry, "r3", "never");
             assertTrue(unknown instanceof BeginResult.NoSuchTurn, unknown.toString());
@@ -77,13 +78,13 @@
 
     /** Guards against concurrent reservations that miss each other because each read asks the nearest member only. */
     @Test
-    public void grantsAreJudgedOnAQuorum() {
+    public void grantsAreReadFromQuorum() {
         StoreCluster cluster = StoreCluster.ofThree();
         Conversations first = cluster.entry("e1");
         Conversations second = cluster.entry("e2");
         cluster.run(Duration.ofMillis(200));
-        CompletableFuture<BeginResult> one = first.begin(StoreCluster.begin("p", "r1", 10, 10, ""));
-        CompletableFuture<BeginResult> two = second.begin(StoreCluster.begin("p", "r2", 10, 10, ""));
+        CompletableFuture<BeginResult> one = first.begin(StoreCluster.beginRequest("p", "r1", 10, 10, ""));
+        CompletableFuture<BeginResult> two = second.begin(StoreCluster.beginRequest("p", "r2", 10, 10, ""));
         boolean both =
                 cluster.await(one) instanceof BeginResult.Granted && cluster.await(two) instanceof BeginResult.Granted;
         assertTrue(!both, "both turns were granted, but the budget covers only one");
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/QuorumCircuitBreakerTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/QuorumCircuitBreakerTest.java
@@ -9,20 +9,20 @@
 /** Handling of turns while the store VMs have no quorum. */
 public class QuorumCircuitBreakerTest {
     private static BeginResult begin(StoreCluster cluster, Conversations entry, String request) {
-        return cluster.await(entry.begin(StoreCluster.begin("p", request, 1000, 10, "")));
+        return cluster.await(entry.begin(StoreCluster.beginRequest("p", request, 1000, 10, "")));
     }
 
     /** Guards against each turn waiting for its own timeout while no quorum answers. */
     @Test
-    public void aTurnIsRefusedAtOnceWhereTheOneBeforeWaitedInVain() {
+    public void failsFastAfterQuorumTimeout() {
         StoreCluster cluster = StoreCluster.ofThree();
         Conversations entry = cluster.entry("x");
         assertTrue(begin(cluster, entry, "q1") instanceof BeginResult.Granted);
-        cluster.cut("a");
-        cluster.cut("b");
+        cluster.partition("a");
+        cluster.partition("b");
         assertTrue(begin(cluster, entry, "q2") instanceof BeginResult.Unavailable);
-        CompletableFuture<BeginResult> probe = entry.begin(StoreCluster.begin("p", "q3", 1000, 10, ""));
-        CompletableFuture<BeginResult> next = entry.begin(StoreCluster.begin("p", "q4", 1000, 10, ""));
+        CompletableFuture<BeginResult> probe = entry.begin(StoreCluster.beginRequest("p", "q3", 1000, 10, ""));
+        CompletableFuture<BeginResult> next = entry.begin(StoreCluster.beginRequest("p", "q4", 1000, 10, ""));
         assertTrue(next.isDone() && next.join() instanceof BeginResult.Unavailable);
         cluster.heal("a");
         cluster.heal("b");
@@ -32,11 +32,11 @@
 
     /** Guards against turns being refused after the quorum has recovered. */
     @Test
-    public void aQuorumThatIsBackIsNoticed() {
+    public void detectsRestoredQuorum() {
         StoreCluster cluster = StoreCluster.ofThree();
         Conversations entry = cluster.entry("x");
-        cluster.cut("a");
-        cluster.cut("b");
+        cluster.partition("a");
+        cluster.partition("b");
         assertTrue(begin(cluster, entry, "q1") instanceof BeginResult.Unavailable);
         cluster.heal("a");
         cluster.heal("b");
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StandbyTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StandbyTest.java
@@ -15,17 +15,17 @@
 
 /** Standby store VMs, which replace lost members of the set. */
 public class StandbyTest {
-    private static final int TOLERATED = 2;
-    private static final int WANTED = 2 * TOLERATED + 1;
+    private static final int TOLERATED_LOSSES = 2;
+    private static final int TARGET_SIZE = 2 * TOLERATED_LOSSES + 1;
     /** Time within which a lost member is replaced by a complete one. */
-    private static final Duration REPLACED = Duration.ofSeconds(3);
+    private static final Duration REPLACEMENT_TIME = Duration.ofSeconds(3);
 
     private static final int SEEDS = 40;
     private static final int STEPS = 4;
 
     private static StoreCluster ofNine() {
         return StoreCluster.withStandbys(
-                IntStream.range(0, 9).mapToObj(each -> "s" + each).toList(), TOLERATED);
+                IntStream.range(0, 9).mapToObj(each -> "s" + each).toList(), TOLERATED_LOSSES);
     }
 
     private static StoreSet newest(StoreCluster cluster) {
@@ -39,7 +39,7 @@
         return newest(cluster).members().stream().map(StoreMember::name).collect(Collectors.toList());
     }
 
-    private static long copies(StoreCluster cluster) {
+    private static long completeMembers(StoreCluster cluster) {
         StoreSet set = newest(cluster);
         return set.members().stream()
                 .map(each -> cluster.stores.get(each.name()).replica)
@@ -48,41 +48,41 @@
     }
 
     @Test
-    public void theSetHasAsManyMembersAsItNeeds() {
+    public void setHasTargetSize() {
         StoreCluster cluster = ofNine();
-        assertEquals(members(cluster).size(), WANTED);
-        assertEquals(copies(cluster), WANTED);
+        assertEquals(members(cluster).size(), TARGET_SIZE);
+        assertEquals(completeMembers(cluster), TARGET_SIZE);
     }
 
     /** Guards against a set that, after successive replacements, no longer tolerates the loss of two disks. */
     @Test
-    public void twoDisksMayBeLostAfterMembersWereReplacedOneAfterTheOther() {
+    public void toleratesTwoDiskLossesAfterReplacements() {
         StoreCluster cluster = ofNine();
         Conversations entry = cluster.entry("x");
-        cluster.keepTurn(entry, "t1", "", "one", "x\n");
+        cluster.commitTurn(entry, "t1", "", "one", "x\n");
         List<String> first = members(cluster);
-        cluster.stores.get(first.get(0)).die();
-        cluster.cut(first.get(1));
-        cluster.run(REPLACED);
-        assertEquals(copies(cluster), WANTED, members(cluster).toString());
+        cluster.stores.get(first.get(0)).stop();
+        cluster.partition(first.get(1));
+        cluster.run(REPLACEMENT_TIME);
+        assertEquals(completeMembers(cluster), TARGET_SIZE, members(cluster).toString());
         cluster.heal(first.get(1));
         List<String> second = members(cluster);
-        cluster.stores.get(second.get(0)).die();
-        cluster.run(REPLACED);
-        assertEquals(copies(cluster), WANTED, members(cluster).toString());
+        cluster.stores.get(second.get(0)).stop();
+        cluster.run(REPLACEMENT_TIME);
+        assertEquals(completeMembers(cluster), TARGET_SIZE, members(cluster).toString());
         List<String> last = members(cluster);
-        losePowerAndDisks(cluster, last.subList(0, TOLERATED));
+        failPowerAndWipe(cluster, last.subList(0, TOLERATED_LOSSES));
         cluster.run(Duration.ofSeconds(4));
-        BeginResult result = cluster.await(entry.begin(StoreCluster.begin("p", "t2", 1000, 10, "t1")));
+        BeginResult result = cluster.await(entry.begin(StoreCluster.beginRequest("p", "t2", 1000, 10, "t1")));
         assertTrue(result instanceof BeginResult.Granted, result.toString());
     }
 
-    private static void losePowerAndDisks(StoreCluster cluster, List<String> wiped) {
+    private static void failPowerAndWipe(StoreCluster cluster, List<String> wiped) {
         List<String> running = cluster.stores.values().stream()
-                .filter(each -> each.alive)
+                .filter(each -> each.isAlive)
                 .map(each -> each.name)
                 .toList();
-        running.forEach(each -> cluster.stores.get(each).die());
+        running.forEach(each -> cluster.stores.get(each).stop());
         cluster.run(Duration.ofSeconds(1));
         running.forEach(each -> {
             if (wiped.contains(each)) {
@@ -98,11 +98,11 @@
      * power failure then destroys the tolerated number of disks.
      */
     @Test
-    public void nothingIsLostInAnyOrderOfLosses() {
-        IntStream.range(0, SEEDS).forEach(StandbyTest::playLosses);
+    public void keepsTurnsInAnyOrderOfFailures() {
+        IntStream.range(0, SEEDS).forEach(StandbyTest::runFailures);
     }
 
-    private static void playLosses(int seed) {
+    private static void runFailures(int seed) {
         Random random = new Random(seed);
         StoreCluster cluster = ofNine();
         Conversations entry = cluster.entry("x");
@@ -110,31 +110,31 @@
         String previous = "";
         for (int step = 0; step < STEPS; step++) {
             String turn = "t" + step;
-            cluster.keepTurn(entry, turn, previous, "in", "out\n");
+            cluster.commitTurn(entry, turn, previous, "in", "out\n");
             previous = turn;
-            String name = members(cluster).get(random.nextInt(WANTED));
-            steps.add(lose(cluster, name, random.nextInt(4), step));
-            cluster.run(REPLACED.plusSeconds(random.nextInt(3)));
-            assertEquals(copies(cluster), WANTED, "seed " + seed + ": " + steps + " " + members(cluster));
+            String name = members(cluster).get(random.nextInt(TARGET_SIZE));
+            steps.add(injectFailure(cluster, name, random.nextInt(4), step));
+            cluster.run(REPLACEMENT_TIME.plusSeconds(random.nextInt(3)));
+            assertEquals(completeMembers(cluster), TARGET_SIZE, "seed " + seed + ": " + steps + " " + members(cluster));
         }
         List<String> all = members(cluster);
         Collections.shuffle(all, random);
-        losePowerAndDisks(cluster, all.subList(0, TOLERATED));
+        failPowerAndWipe(cluster, all.subList(0, TOLERATED_LOSSES));
         cluster.run(Duration.ofSeconds(5));
-        BeginResult result = cluster.await(entry.begin(StoreCluster.begin("p", "last", 1000, 10, previous)));
+        BeginResult result = cluster.await(entry.begin(StoreCluster.beginRequest("p", "last", 1000, 10, previous)));
         assertTrue(result instanceof BeginResult.Granted, "seed " + seed + ": " + steps + " " + result);
     }
 
-    private static String lose(StoreCluster cluster, String name, int how, int step) {
-        return switch (how) {
+    private static String injectFailure(StoreCluster cluster, String name, int kind, int step) {
+        return switch (kind) {
             case 0 -> {
-                cluster.cut(name);
+                cluster.partition(name);
                 cluster.run(Duration.ofSeconds(2));
                 cluster.heal(name);
                 yield name + " was partitioned";
             }
             case 1 -> {
-                cluster.stores.get(name).die();
+                cluster.stores.get(name).stop();
                 cluster.add("new" + step, false);
                 yield name + " was replaced";
             }
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreCluster.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreCluster.java
@@ -23,21 +23,21 @@
 /** Simulated store VMs and entry nodes on virtual time, with network partitions and disk losses. */
 final class StoreCluster {
     static final Duration RETENTION = Duration.ofSeconds(60);
-    private static final Duration LINK = Duration.ofMillis(1);
-    private static final Duration POLL = Duration.ofMillis(50);
+    private static final Duration LINK_LATENCY = Duration.ofMillis(1);
+    private static final Duration POLL_PERIOD = Duration.ofMillis(50);
 
     final ManualScheduler time = new ManualScheduler();
     final InMemorySharedObjects objects = new InMemorySharedObjects(time.newLoop(), Duration.ofMillis(4));
     final Map<String, Store> stores = new HashMap<>();
     private final Map<String, Consumer<byte[]>> receivers = new HashMap<>();
-    private final Set<String> cut = new HashSet<>();
-    private final Set<String> cutFromStores = new HashSet<>();
-    private final List<Frame> held = new ArrayList<>();
-    private Predicate<Frame> holds = frame -> false;
+    private final Set<String> partitioned = new HashSet<>();
+    private final Set<String> partitionedFromStores = new HashSet<>();
+    private final List<Frame> delayedFrames = new ArrayList<>();
+    private Predicate<Frame> delayFilter = frame -> false;
     private int diskCount;
     private int sentFrames;
     private int toleratedLosses = 1;
-    private int mostMembers = Integer.MAX_VALUE;
+    private int maxMembers = Integer.MAX_VALUE;
 
     /** A frame in transit, which a test may delay. */
     record Frame(String from, String to, byte[] bytes) {}
@@ -48,8 +48,8 @@
         final MemoryDurableLog disk;
         ManualEventLoop loop;
         ConversationReplica replica;
-        boolean watches = true;
-        boolean alive;
+        boolean isWatcher = true;
+        boolean isAlive;
 
         private Store(String name, MemoryDurableLog disk) {
             this.name = name;
@@ -57,34 +57,36 @@
         }
 
         private void boot(boolean firstStart) {
-            alive = true;
+            isAlive = true;
             loop = time.newLoop();
             disk.open(loop);
             replica = new ConversationReplica(loop, disk, name, () -> "disk" + ++diskCount);
             ReplicaCalls calls = new ReplicaCalls(loop, sender(name), name, replica);
             receivers.put(name, frame -> loop.execute(() -> calls.receive(frame)));
-            StoreSetController keeper = new StoreSetController(
-                    loop, objects, replica, calls, name, name, firstStart, toleratedLosses, mostMembers);
+            StoreSetController controller = new StoreSetController(
+                    loop, objects, replica, calls, name, name, firstStart, toleratedLosses, maxMembers);
             replica.start(calls);
-            keeper.setWatchListener(follows -> watches = follows);
-            poll(loop, ObjectKind.STORE_SET, news -> {
-                if (watches) {
-                    keeper.onSetChanged(news);
+            controller.setWatchListener(isRequired -> isWatcher = isRequired);
+            poll(loop, ObjectKind.STORE_SET, changes -> {
+                if (isWatcher) {
+                    controller.onSetChanged(changes);
                 }
             });
-            poll(loop, ObjectKind.RETIREMENTS, keeper::onRetirementsChanged);
-            keeper.start();
+            poll(loop, ObjectKind.RETIREMENTS, controller::onRetirementsChanged);
+            controller.start();
         }
 
-        void die() {
-            alive = false;
+        void stop() {
+            isAlive = false;
             loop.kill();
             receivers.remove(name);
         }
     }
 
-    private void poll(ManualEventLoop loop, ObjectKind kind, Consumer<List<SharedObject>> news) {
-        loop.every(POLL, () -> objects.list(kind).thenAccept(list -> loop.execute(() -> news.accept(list.objects()))));
+    private void poll(ManualEventLoop loop, ObjectKind kind, Consumer<List<SharedObject>> listener) {
+        loop.every(
+                POLL_PERIOD,
+                () -> objects.list(kind).thenAccept(list -> loop.execute(() -> listener.accept(list.objects()))));
     }
 
     Store add(String name, boolean firstStart) {
@@ -97,13 +99,13 @@
     /** Restarts a store VM with its disk. */
     void restart(String name) {
         Store store = stores.get(name);
-        store.die();
+        store.stop();
         store.boot(false);
     }
 
     /** Restarts a store VM with an empty disk. */
     void wipe(String name) {
-        stores.get(name).die();
+        stores.get(name).stop();
         add(name, false);
     }
 
@@ -128,7 +130,7 @@
     static StoreCluster withStandbys(List<String> names, int toleratedLosses) {
         StoreCluster cluster = new StoreCluster();
         cluster.toleratedLosses = toleratedLosses;
-        cluster.mostMembers = 2 * toleratedLosses + 1;
+        cluster.maxMembers = 2 * toleratedLosses + 1;
         names.forEach(name -> cluster.add(name, true));
         cluster.run(Duration.ofSeconds(3));
         return cluster;
@@ -139,29 +141,29 @@
         return sentFrames;
     }
 
-    void cut(String name) {
-        cut.add(name);
+    void partition(String name) {
+        partitioned.add(name);
     }
 
     /** Partitions an entry node from all store VMs, but not from other entry nodes. */
-    void cutFromStores(String entry) {
-        cutFromStores.add(entry);
+    void partitionFromStores(String entry) {
+        partitionedFromStores.add(entry);
     }
 
     void heal(String name) {
-        cut.remove(name);
-        cutFromStores.remove(name);
+        partitioned.remove(name);
+        partitionedFromStores.remove(name);
     }
 
-    /** Delays the frames that match until {@link #letGo}. */
-    void hold(Predicate<Frame> which) {
-        holds = which;
+    /** Delays the frames that match until {@link #releaseFrames}. */
+    void delayFrames(Predicate<Frame> filter) {
+        delayFilter = filter;
     }
 
-    void letGo() {
-        holds = frame -> false;
-        List<Frame> frames = List.copyOf(held);
-        held.clear();
+    void releaseFrames() {
+        delayFilter = frame -> false;
+        List<Frame> frames = List.copyOf(delayedFrames);
+        delayedFrames.clear();
         frames.forEach(frame -> deliver(frame.to(), frame.bytes()));
     }
 
@@ -180,13 +182,16 @@
         receivers.put(name, frame -> loop.execute(() -> calls.receive(frame)));
         calls.setRelayFinder(() -> peer);
         ConversationClient client = new ConversationClient(loop, calls);
-        poll(loop, ObjectKind.STORE_SET, news -> news.forEach(each -> client.adopt(StoreSetJson.read(each.content()))));
+        poll(
+                loop,
+                ObjectKind.STORE_SET,
+                changes -> changes.forEach(each -> client.adopt(StoreSetJson.read(each.content()))));
         return new Conversations(client);
     }
 
-    static BeginRequest begin(String program, String request, int budget, int most, String previous) {
+    static BeginRequest beginRequest(String program, String request, int budget, int maxTokens, String previous) {
         return new BeginRequest(
-                program, request, OptionalInt.of(budget), most, previous, RETENTION, Duration.ofSeconds(1));
+                program, request, OptionalInt.of(budget), maxTokens, previous, RETENTION, Duration.ofSeconds(1));
     }
 
     /** Advances the time until a future completes, for 5 s at most. */
@@ -197,7 +202,7 @@
         return future.join();
     }
 
-    void keepTurn(Conversations entry, String id, String previous, String input, String output) {
+    void commitTurn(Conversations entry, String id, String previous, String input, String output) {
         await(entry.commit(
                 Optional.of(new Grant("p", id, GrantState.SETTLED, 10, "r1")),
                 Optional.of(new Turn(id, previous, input.getBytes(UTF_8), output.getBytes(UTF_8))),
@@ -211,13 +216,13 @@
             public void send(String address, byte[] frame) {
                 Frame sent = new Frame(from, address, frame);
                 sentFrames++;
-                boolean toStore = stores.containsKey(address) && cutFromStores.contains(from);
-                boolean fromStore = stores.containsKey(from) && cutFromStores.contains(address);
-                if (cut.contains(from) || cut.contains(address) || toStore || fromStore) {
+                boolean toStore = stores.containsKey(address) && partitionedFromStores.contains(from);
+                boolean fromStore = stores.containsKey(from) && partitionedFromStores.contains(address);
+                if (partitioned.contains(from) || partitioned.contains(address) || toStore || fromStore) {
                     return;
                 }
-                if (holds.test(sent)) {
-                    held.add(sent);
+                if (delayFilter.test(sent)) {
+                    delayedFrames.add(sent);
                     return;
                 }
                 deliver(address, frame);
@@ -229,7 +234,7 @@
     }
 
     private void deliver(String address, byte[] frame) {
-        time.newLoop().schedule(LINK, () -> {
+        time.newLoop().schedule(LINK_LATENCY, () -> {
             Consumer<byte[]> receiver = receivers.get(address);
             if (receiver != null) {
                 receiver.accept(frame);
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetTest.java
@@ -13,11 +13,11 @@
 
 /** Durability of committed turns across failures and changes of the store set. */
 public class StoreSetTest {
-    private static final Duration CATCH_UP = Duration.ofSeconds(4);
+    private static final Duration SYNC_TIME = Duration.ofSeconds(4);
 
     private static void assertChain(StoreCluster cluster, String last, String... inputs) {
         BeginResult result = cluster.await(cluster.entry("reader" + last + inputs.length + cluster.time.nanos())
-                .begin(StoreCluster.begin("p", "next-" + cluster.time.nanos(), 100_000, 10, last)));
+                .begin(StoreCluster.beginRequest("p", "next-" + cluster.time.nanos(), 100_000, 10, last)));
         assertTrue(result instanceof BeginResult.Granted, result.toString());
         List<String> chain = ((BeginResult.Granted) result)
                 .chain().stream().map(turn -> new String(turn.input(), UTF_8)).toList();
@@ -26,84 +26,85 @@
 
     /** Guards against acknowledging writes before they are synced to disk. */
     @Test
-    public void turnsSurviveALossOfPowerEverywhere() {
+    public void turnsSurvivePowerLossOfAllMembers() {
         StoreCluster cluster = StoreCluster.ofThree();
         Conversations entry = cluster.entry("e");
-        cluster.keepTurn(entry, "t1", "", "one", "x\n");
-        cluster.keepTurn(entry, "t2", "t1", "two", "y\n");
-        List.of("a", "b", "c").forEach(name -> cluster.stores.get(name).die());
+        cluster.commitTurn(entry, "t1", "", "one", "x\n");
+        cluster.commitTurn(entry, "t2", "t1", "two", "y\n");
+        List.of("a", "b", "c").forEach(name -> cluster.stores.get(name).stop());
         List.of("a", "b", "c").forEach(cluster::restart);
-        cluster.run(CATCH_UP);
+        cluster.run(SYNC_TIME);
         assertChain(cluster, "t2", "one", "two");
     }
 
     /** Guards against a wiped member that serves before it has synchronized, or synchronizes from a stale one. */
     @Test
-    public void twoDisksLostOneAfterTheOtherLoseNothing() {
+    public void turnsSurviveSuccessiveDiskLosses() {
         StoreCluster cluster = StoreCluster.ofThree();
         Conversations entry = cluster.entry("e");
-        cluster.cut("c");
-        cluster.keepTurn(entry, "t1", "", "one", "x\n");
+        cluster.partition("c");
+        cluster.commitTurn(entry, "t1", "", "one", "x\n");
         cluster.heal("c");
         cluster.wipe("a");
-        cluster.run(CATCH_UP);
+        cluster.run(SYNC_TIME);
         cluster.wipe("b");
-        cluster.run(CATCH_UP);
+        cluster.run(SYNC_TIME);
         assertChain(cluster, "t1", "one");
         cluster.wipe("c");
-        cluster.run(CATCH_UP);
+        cluster.run(SYNC_TIME);
         assertChain(cluster, "t1", "one");
     }
 
     /** Guards against a wiped member that denies a turn while the members that hold it are unreachable. */
     @Test
-    public void anEmptyDiskNeverSaysNoSuchTurn() {
+    public void wipedMemberDoesNotDenyTurn() {
         StoreCluster cluster = StoreCluster.ofThree();
         Conversations entry = cluster.entry("e");
-        cluster.cut("c");
-        cluster.keepTurn(entry, "t1", "", "one", "x\n");
+        cluster.partition("c");
+        cluster.commitTurn(entry, "t1", "", "one", "x\n");
         cluster.wipe("a");
-        cluster.cut("b");
+        cluster.partition("b");
         cluster.heal("c");
-        BeginResult result = cluster.await(entry.begin(StoreCluster.begin("p", "q", 1000, 10, "t1")));
+        BeginResult result = cluster.await(entry.begin(StoreCluster.beginRequest("p", "q", 1000, 10, "t1")));
         assertTrue(result instanceof BeginResult.Unavailable, result.toString());
     }
 
     /** Guards against reporting an unknown turn as unavailable although a read quorum answers. */
     @Test
-    public void aTurnThatNeverWasIsDenied() {
+    public void unknownTurnIsDenied() {
         StoreCluster cluster = StoreCluster.ofThree();
-        BeginResult result = cluster.await(cluster.entry("e").begin(StoreCluster.begin("p", "q", 1000, 10, "never")));
+        BeginResult result =
+                cluster.await(cluster.entry("e").begin(StoreCluster.beginRequest("p", "q", 1000, 10, "never")));
         assertTrue(result instanceof BeginResult.NoSuchTurn, result.toString());
     }
 
     /** Guards against the loss of turns when a disk is lost after a member was replaced by a VM at another address. */
     @Test
-    public void aReplacedVmTakesThePlaceOfTheOneThatIsGone() {
+    public void newVmReplacesFailedMember() {
         StoreCluster cluster = StoreCluster.ofThree();
         Conversations entry = cluster.entry("e");
-        cluster.keepTurn(entry, "t1", "", "one", "x\n");
-        cluster.stores.get("a").die();
+        cluster.commitTurn(entry, "t1", "", "one", "x\n");
+        cluster.stores.get("a").stop();
         cluster.run(Duration.ofSeconds(1));
         cluster.add("d", false);
-        cluster.run(CATCH_UP);
+        cluster.run(SYNC_TIME);
         StoreSet set = cluster.stores.get("d").replica.set().orElseThrow();
         assertEquals(set.members().stream().map(StoreMember::name).toList(), List.of("b", "c", "d"));
         cluster.wipe("b");
-        cluster.run(CATCH_UP);
-        cluster.stores.get("c").die();
+        cluster.run(SYNC_TIME);
+        cluster.stores.get("c").stop();
         assertChain(cluster, "t1", "one");
     }
 
     /** Guards against reporting a retirement as complete before the remaining members hold all records. */
     @Test
-    public void aRetiredVmIsReportedOnlyOnceItsRecordsAreElsewhere() {
+    public void retirementCompletesAfterRecordsAreReplicated() {
         StoreCluster cluster = StoreCluster.ofThree();
         cluster.add("d", false);
-        cluster.run(CATCH_UP);
+        cluster.run(SYNC_TIME);
         Conversations entry = cluster.entry("e");
-        cluster.cut("d");
-        cluster.keepTurn(entry, "t1", "", "one", "x\n");
+        cluster.partition("d");
+        cluster.commitTurn(entry, "t1", "", "one", "x\n");
         cluster.heal("d");
         cluster.objects.write(ObjectKind.RETIREMENTS, "a", "{}".getBytes(UTF_8));
         int steps = 0;
@@ -111,57 +112,57 @@
             cluster.run(Duration.ofMillis(20));
         }
         assertEquals(cluster.objects.retirement("a"), RetirementProgress.COMPLETE);
-        cluster.stores.get("a").die();
+        cluster.stores.get("a").stop();
         cluster.wipe("b");
-        cluster.run(CATCH_UP);
+        cluster.run(SYNC_TIME);
         assertChain(cluster, "t1", "one");
     }
 
     /** Guards against a deadlock in a set of two, where a wiped member becomes complete only through a set change. */
     @Test
-    public void aDiskLostAfterARetirementIsTakenInAgain() {
+    public void wipedMemberRejoinsAfterRetirement() {
         StoreCluster cluster = StoreCluster.ofThree();
         Conversations entry = cluster.entry("e");
-        cluster.keepTurn(entry, "t1", "", "one", "x\n");
+        cluster.commitTurn(entry, "t1", "", "one", "x\n");
         cluster.objects.write(ObjectKind.RETIREMENTS, "a", "{}".getBytes(UTF_8));
         cluster.run(Duration.ofSeconds(1));
-        cluster.stores.get("a").die();
+        cluster.stores.get("a").stop();
         cluster.wipe("c");
-        cluster.run(CATCH_UP);
+        cluster.run(SYNC_TIME);
         assertTrue(cluster.stores.get("c").replica.isComplete());
-        cluster.keepTurn(entry, "t2", "t1", "two", "y\n");
+        cluster.commitTurn(entry, "t2", "t1", "two", "y\n");
         cluster.wipe("b");
-        cluster.run(CATCH_UP);
+        cluster.run(SYNC_TIME);
         assertChain(cluster, "t2", "one", "two");
     }
 
     /** Guards against a set of two that cannot continue after the failure of one member, or re-admit it. */
     @Test
-    public void theLastOfTwoGoesOnAlone() {
+    public void remainingMemberOfTwoContinuesAlone() {
         StoreCluster cluster = StoreCluster.ofThree();
         Conversations entry = cluster.entry("e");
         cluster.objects.write(ObjectKind.RETIREMENTS, "a", "{}".getBytes(UTF_8));
         cluster.run(Duration.ofSeconds(1));
-        cluster.stores.get("a").die();
-        cluster.stores.get("c").die();
+        cluster.stores.get("a").stop();
+        cluster.stores.get("c").stop();
         cluster.run(Duration.ofSeconds(3));
-        cluster.keepTurn(entry, "t1", "", "one", "x\n");
+        cluster.commitTurn(entry, "t1", "", "one", "x\n");
         cluster.restart("c");
-        cluster.run(CATCH_UP);
+        cluster.run(SYNC_TIME);
         cluster.wipe("b");
-        cluster.run(CATCH_UP);
+        cluster.run(SYNC_TIME);
         assertChain(cluster, "t1", "one");
     }
 
     /** Guards against a wiped VM that acknowledges writes at its old address before it is a member again. */
     @Test
-    public void aVmThatIsNotAMemberAcknowledgesNothing() {
+    public void nonMemberAcknowledgesNoWrites() {
         StoreCluster cluster = StoreCluster.ofThree();
         Conversations entry = cluster.entry("e");
         cluster.run(Duration.ofMillis(100));
         cluster.objects.down(true);
         cluster.wipe("a");
-        cluster.cut("c");
+        cluster.partition("c");
         var written = entry.commit(
                 java.util.Optional.empty(),
                 java.util.Optional.of(new Turn("t1", "", new byte[] {1}, new byte[0])),
@@ -173,16 +174,16 @@
 
     /** Guards against a member that was frozen during a change of the set and accepts writes of the old epoch. */
     @Test
-    public void aMemberThatWakesInAnOldEpochDoesNotCountAlone() {
+    public void thawedMemberAcceptsNoWritesOfOldEpoch() {
         StoreCluster cluster = StoreCluster.ofThree();
         Conversations entry = cluster.entry("e");
         cluster.stores.get("a").loop.freeze();
         cluster.run(Duration.ofSeconds(2));
         cluster.add("d", false);
-        cluster.run(CATCH_UP);
-        cluster.keepTurn(entry, "t1", "", "one", "x\n");
+        cluster.run(SYNC_TIME);
+        cluster.commitTurn(entry, "t1", "", "one", "x\n");
         cluster.stores.get("a").loop.thaw();
-        cluster.run(CATCH_UP);
+        cluster.run(SYNC_TIME);
         assertChain(cluster, "t1", "one");
         assertTrue(cluster.stores.get("a").replica.isComplete());
     }
