--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationClient.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationClient.java
@@ -286,7 +286,7 @@
                 case ReplicaReply.Incomplete ignored ->
                     retry(target, member, includesTexts, member.name() + " has not synchronized yet");
                 case ReplicaReply.RecordList ignored ->
-                    retry(target, member, includesTexts, "unexpected reply of type Keys");
+                    retry(target, member, includesTexts, "unexpected reply of type RecordList");
                 case ReplicaReply.Progress ignored ->
                     retry(target, member, includesTexts, "unexpected reply of type Progress");
             }
