--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationClient.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationClient.java
@@ -122,7 +122,7 @@
     }
 
     /**
-     * Reads the same from all members, each of which sends the turns themselves.
+     * Reads the grants of a program and a chain of turns from all members, each of which sends the turns themselves.
      *
      * @param program the program; empty for none
      * @param lastTurn the ID of the last turn of the chain; empty for none
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Grant.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Grant.java
@@ -8,7 +8,7 @@
  * @param request the request ID
  * @param state the state of the grant
  * @param tokens the maximum number of tokens that the request may generate; once settled, the number it generated
- * @param runner the runner process that served the request; empty if unknown
+ * @param runner the incarnation of the runner that served the request; empty if unknown
  * @param promptPart the ID of the last part of the request's prompt, which later turns extend; empty if unknown
  * @param cachedTokens the tokens cached on the runner up to and including the generated ones; 0 if unknown
  */
@@ -27,7 +27,7 @@
      * @param request the request ID
      * @param state the state of the grant
      * @param tokens the maximum number of tokens that the request may generate; once settled, the number it generated
-     * @param runner the runner process that served the request; empty if unknown
+     * @param runner the incarnation of the runner that served the request; empty if unknown
      */
     public Grant(String program, String request, GrantState state, int tokens, String runner) {
         this(program, request, state, tokens, runner, "", 0);
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/MemberMonitor.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/MemberMonitor.java
@@ -15,7 +15,7 @@
     /** Largest set in which each member polls all others. */
     static final int MAX_FULL_POLL_SIZE = 4;
 
-    /** Number of members that watch the shared object. */
+    /** Number of members that watch the shared object that holds the set. */
     private static final int WATCHER_COUNT = 2;
 
     private final Map<String, MemberStatus> statuses = new HashMap<>();
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/RecordIndex.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/RecordIndex.java
@@ -125,7 +125,7 @@
         recordExpiry(grant.program(), false, expiresAtMillis);
         Map<String, Grant> ledger = ledgers.computeIfAbsent(grant.program(), any -> new HashMap<>());
         Grant existing = ledger.get(grant.request());
-        // Comparing only the states keeps the replay of large logs fast.
+        // Compares only the states, which is cheaper than equals() when a large log is replayed.
         if (existing != null && !grant.isLaterThan(existing)) {
             return false;
         }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaReply.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaReply.java
@@ -30,7 +30,7 @@
     /** Rejects a request of an epoch that the member has not adopted yet. */
     record Behind() implements ReplicaReply {}
 
-    /** Rejects a request because the member does not hold all committed records of earlier epochs. */
+    /** Rejects a request because the receiver lacks committed records of earlier epochs or is not in the set. */
     record Incomplete() implements ReplicaReply {}
 
     /**
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetAtScaleTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetAtScaleTest.java
@@ -14,7 +14,6 @@
 public class StoreSetAtScaleTest {
     private static final int MEMBERS = 12;
     private static final Duration SETTLE_TIME = Duration.ofSeconds(3);
-    /** Bound on the frames per VM and second. */
     private static final int MAX_FRAMES_PER_VM_SECOND = 20;
 
     private static StoreCluster ofTwelve() {
