--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/NearestReadTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/NearestReadTest.java
@@ -54,7 +54,7 @@
             cluster.partition(unresponsive);
             long startNanos = cluster.time.nanos();
             assertEquals(chainText(begin(cluster, entry, "r2", "r1")), "said");
-            assertTrue(cluster.time.nanos() - startNanos < Duration.ofMillis(40).toNanos(), "silent " + unresponsive);
+            assertTrue(cluster.time.nanos() - startNanos < Duration.ofMillis(40).toNanos(), "unresponsive member " + unresponsive);
         }
     }
 
@@ -70,7 +70,7 @@
                     frame -> frame.to().equals(lacking) && frame.from().equals("e"));
             cluster.commitTurn(entry, "r1", "", "said", "");
             cluster.delayFrames(frame -> false);
-            assertEquals(chainText(begin(cluster, entry, "r2", "r1")), "said", "lacking " + lacking);
+            assertEquals(chainText(begin(cluster, entry, "r2", "r1")), "said", "member without the turn: " + lacking);
             BeginResult unknown = begin(cluster, entry, "r3", "never");
             assertTrue(unknown instanceof BeginResult.NoSuchTurn, unknown.toString());
         }
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetAtScaleTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetAtScaleTest.java
@@ -39,7 +39,7 @@
         cluster.run(SETTLE_TIME);
         long most = MAX_FRAMES_PER_VM_SECOND * MEMBERS * SETTLE_TIME.toSeconds();
         int sent = cluster.sentFrames() - before;
-        assertTrue(sent <= most, sent + " frames of " + most);
+        assertTrue(sent <= most, sent + " frames sent, limit " + most);
     }
 
     /** Guards against a failure that goes undetected because the members that poll all others have failed too. */
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/TokenBudgetTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/TokenBudgetTest.java
@@ -42,7 +42,7 @@
                 .map(cluster::await)
                 .filter(BeginResult.Granted.class::isInstance)
                 .count();
-        assertTrue(granted * MAX_TOKENS <= budget, granted + " granted of " + budget);
+        assertTrue(granted * MAX_TOKENS <= budget, granted + " turns granted with a budget of " + budget);
     }
 
     /** Guards against counting the tokens of a turn that never ran. */
