--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/FileDurableLog.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/FileDurableLog.java
@@ -40,7 +40,7 @@
     private static final String SEGMENT_SUFFIX = ".log";
     private static final String STATE_FILE = "state";
 
-    private final Path folder;
+    private final Path directory;
     private final RuntimeClock clock;
     private final List<Entry> replayed = new ArrayList<>();
     private final Deque<Segment> segments = new ArrayDeque<>();
@@ -51,19 +51,19 @@
     /**
      * Opens the log in a directory and reads its records, ignoring a torn record at the end of a segment.
      *
-     * @param folder the directory, created if absent
+     * @param directory the directory, created if absent
      * @param clock the wall clock that decides when records have expired
      * @throws StepException if the directory cannot be created, read or written
      */
-    public FileDurableLog(Path folder, RuntimeClock clock) {
-        this.folder = folder;
+    public FileDurableLog(Path directory, RuntimeClock clock) {
+        this.directory = directory;
         this.clock = clock;
         try {
-            Files.createDirectories(folder);
+            Files.createDirectories(directory);
             recover();
             startSegment();
         } catch (IOException fault) {
-            throw new StepException(Step.CONFIGURE, folder.toString(), "cannot open data directory: " + fault);
+            throw new StepException(Step.CONFIGURE, directory.toString(), "cannot open data directory: " + fault);
         }
         disruptor = new Disruptor<>(
                 Slot::new,
@@ -89,7 +89,7 @@
     @Override
     public Optional<byte[]> state() {
         try {
-            Path file = folder.resolve(STATE_FILE);
+            Path file = directory.resolve(STATE_FILE);
             if (!Files.exists(file)) {
                 return Optional.empty();
             }
@@ -136,7 +136,7 @@
 
     private void recover() throws IOException {
         List<Path> files;
-        try (Stream<Path> listed = Files.list(folder)) {
+        try (Stream<Path> listed = Files.list(directory)) {
             files = listed.filter(each -> each.getFileName().toString().endsWith(SEGMENT_SUFFIX))
                     .sorted()
                     .toList();
@@ -164,11 +164,11 @@
     /** Starts a segment in a new file. Segments written by earlier processes are never appended to. */
     private void startSegment() throws IOException {
         long number = segments.isEmpty() ? 1 : number(segments.getLast().file()) + 1;
-        Path file = folder.resolve(String.format("%012d%s", number, SEGMENT_SUFFIX));
+        Path file = directory.resolve(String.format("%012d%s", number, SEGMENT_SUFFIX));
         segmentChannel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         writtenBytes = 0;
         segmentChannel.force(true);
-        syncFolder();
+        syncDirectory();
         segments.add(new Segment(file, 0));
     }
 
@@ -193,8 +193,8 @@
     }
 
     /** Syncs the directory, without which a created, renamed or deleted file does not survive a power loss. */
-    private void syncFolder() throws IOException {
-        try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
+    private void syncDirectory() throws IOException {
+        try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
         }
     }
@@ -214,7 +214,7 @@
     }
 
     private void replaceState(byte[] state) throws IOException {
-        Path temporary = folder.resolve(STATE_FILE + ".new");
+        Path temporary = directory.resolve(STATE_FILE + ".new");
         try (FileChannel channel = FileChannel.open(
                 temporary, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
             ByteBuffer frame = RecordFrames.frame(state);
@@ -225,10 +225,10 @@
         }
         Files.move(
                 temporary,
-                folder.resolve(STATE_FILE),
+                directory.resolve(STATE_FILE),
                 StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
-        syncFolder();
+        syncDirectory();
     }
 
     private void syncAndRoll() throws IOException {
@@ -245,7 +245,7 @@
         while (segments.size() > 1 && segments.getFirst().expiresAtMillis < now) {
             Files.delete(segments.removeFirst().file());
         }
-        syncFolder();
+        syncDirectory();
     }
 
     private record WriteRequest(List<Entry> entries, byte[] state, CompletableFuture<Void> durable) {}
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/FileDurableLogTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/FileDurableLogTest.java
@@ -17,19 +17,19 @@
 /** Recovery of the log after a crash. */
 public class FileDurableLogTest {
     private final ManualScheduler time = new ManualScheduler();
-    private Path folder;
+    private Path directory;
 
     @BeforeMethod
-    public void makeFolder() throws IOException {
-        folder = Files.createTempDirectory("log");
+    public void createDirectory() throws IOException {
+        directory = Files.createTempDirectory("log");
     }
 
     @AfterMethod
-    public void removeFolder() throws IOException {
-        try (Stream<Path> files = Files.list(folder)) {
+    public void deleteDirectory() throws IOException {
+        try (Stream<Path> files = Files.list(directory)) {
             files.toList().forEach(file -> file.toFile().delete());
         }
-        Files.delete(folder);
+        Files.delete(directory);
     }
 
     private static DurableLog.Entry entry(String text) {
@@ -44,12 +44,12 @@
 
     @Test
     public void restoresRecordsAndState() {
-        try (FileDurableLog log = new FileDurableLog(folder, time)) {
+        try (FileDurableLog log = new FileDurableLog(directory, time)) {
             log.append(List.of(entry("one"), entry("two"))).join();
             log.saveState("s1".getBytes(StandardCharsets.UTF_8)).join();
             log.saveState("s2".getBytes(StandardCharsets.UTF_8)).join();
         }
-        try (FileDurableLog log = new FileDurableLog(folder, time)) {
+        try (FileDurableLog log = new FileDurableLog(directory, time)) {
             assertEquals(texts(log), List.of("one", "two"));
             assertEquals(new String(log.state().orElseThrow(), StandardCharsets.UTF_8), "s2");
         }
@@ -58,24 +58,24 @@
     /** Guards against reading a torn record as valid, and against losing records that are appended after it. */
     @Test
     public void ignoresTornTailAndReadsLaterRecords() throws IOException {
-        try (FileDurableLog log = new FileDurableLog(folder, time)) {
+        try (FileDurableLog log = new FileDurableLog(directory, time)) {
             log.append(List.of(entry("one"))).join();
         }
         Path segment = segments().getFirst();
         byte[] torn = RecordFrames.frame("half of a record".getBytes(StandardCharsets.UTF_8))
                 .array();
         Files.write(segment, java.util.Arrays.copyOf(torn, torn.length - 3), StandardOpenOption.APPEND);
-        try (FileDurableLog log = new FileDurableLog(folder, time)) {
+        try (FileDurableLog log = new FileDurableLog(directory, time)) {
             assertEquals(texts(log), List.of("one"));
             log.append(List.of(entry("two"))).join();
         }
-        try (FileDurableLog log = new FileDurableLog(folder, time)) {
+        try (FileDurableLog log = new FileDurableLog(directory, time)) {
             assertEquals(texts(log), List.of("one", "two"));
         }
     }
 
     private List<Path> segments() throws IOException {
-        try (Stream<Path> files = Files.list(folder)) {
+        try (Stream<Path> files = Files.list(directory)) {
             return files.filter(each -> each.toString().endsWith(".log"))
                     .sorted()
                     .toList();
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/MembershipPolicyTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/MembershipPolicyTest.java
@@ -19,9 +19,9 @@
                 .map(name -> new StoreMember(name, name, "disk-" + name))
                 .toList();
         StoreSet set = new StoreSet(1, members, List.of());
-        Set<String> disks = members.stream().map(StoreMember::diskId).collect(Collectors.toSet());
+        Set<String> diskIds = members.stream().map(StoreMember::diskId).collect(Collectors.toSet());
         return MembershipPolicy.nextSet(
-                        new MembershipPolicy.View(members.getLast(), set, disks, Set.of(), Set.of("a"), 1, UNLIMITED))
+                        new MembershipPolicy.View(members.getLast(), set, diskIds, Set.of(), Set.of("a"), 1, UNLIMITED))
                 .map(next -> next.members().size());
     }
 
@@ -31,14 +31,15 @@
         assertEquals(membersAfterRetiringA("a", "b"), Optional.empty());
     }
 
-    private static Optional<StoreSet> joined(Set<String> unresponsive, Set<String> retiring) {
+    private static Optional<StoreSet> joined(Set<String> unresponsive, Set<String> retiringVms) {
         List<StoreMember> members = Stream.of("a", "b", "c", "d", "e")
                 .map(name -> new StoreMember(name, name, "disk-" + name))
                 .toList();
         StoreSet set = new StoreSet(1, members, List.of());
-        Set<String> disks = members.stream().map(StoreMember::diskId).collect(Collectors.toSet());
+        Set<String> diskIds = members.stream().map(StoreMember::diskId).collect(Collectors.toSet());
         StoreMember standby = new StoreMember("f", "f", "disk-f");
-        return MembershipPolicy.nextSet(new MembershipPolicy.View(standby, set, disks, unresponsive, retiring, 2, 5));
+        return MembershipPolicy.nextSet(
+                new MembershipPolicy.View(standby, set, diskIds, unresponsive, retiringVms, 2, 5));
     }
 
     private static List<String> names(Optional<StoreSet> set) {
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetAtScaleTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetAtScaleTest.java
@@ -25,8 +25,8 @@
         return cluster;
     }
 
-    private static List<String> members(StoreCluster cluster, String asked) {
-        return cluster.stores.get(asked).replica.set().orElseThrow().members().stream()
+    private static List<String> members(StoreCluster cluster, String vm) {
+        return cluster.stores.get(vm).replica.set().orElseThrow().members().stream()
                 .map(StoreMember::name)
                 .collect(Collectors.toList());
     }
@@ -37,9 +37,9 @@
         StoreCluster cluster = ofTwelve();
         int before = cluster.sentFrames();
         cluster.run(SETTLE_TIME);
-        long most = MAX_FRAMES_PER_VM_SECOND * MEMBERS * SETTLE_TIME.toSeconds();
+        long limit = MAX_FRAMES_PER_VM_SECOND * MEMBERS * SETTLE_TIME.toSeconds();
         int sent = cluster.sentFrames() - before;
-        assertTrue(sent <= most, sent + " frames sent, limit " + most);
+        assertTrue(sent <= limit, sent + " frames sent, limit " + limit);
     }
 
     /** Guards against a failure that goes undetected because the members that poll all others have failed too. */
