--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaCalls.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaCalls.java
@@ -10,9 +10,9 @@
 import java.util.function.Supplier;
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
+import org.parsleydrift.kernel.Cancellable;
 import org.parsleydrift.kernel.EventLoop;
 import org.parsleydrift.kernel.LogLine;
-import org.parsleydrift.kernel.LoopTimer;
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 import org.parsleydrift.kernel.codec.MessagePackFrames;
@@ -121,7 +121,7 @@
     public CompletableFuture<ReplicaReply> send(String address, ReplicaRequest request, Duration timeout) {
         long correlation = ++lastCorrelation;
         CompletableFuture<ReplicaReply> reply = new CompletableFuture<>();
-        LoopTimer timer = loop.schedule(timeout, () -> onTimeout(address, correlation, timeout));
+        Cancellable timer = loop.schedule(timeout, () -> onTimeout(address, correlation, timeout));
         boolean isRead = request instanceof ReplicaRequest.Read;
         pending.put(
                 correlation,
@@ -292,5 +292,5 @@
     }
 
     private record PendingRequest(
-            CompletableFuture<ReplicaReply> reply, LoopTimer timer, boolean isRead, long sentNanos) {}
+            CompletableFuture<ReplicaReply> reply, Cancellable timer, boolean isRead, long sentNanos) {}
 }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetController.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetController.java
@@ -95,7 +95,7 @@
 
     /** Starts the periodic reconciliation. */
     public void start() {
-        loop.every(RECONCILE_PERIOD, this::reconcile);
+        loop.scheduleWithFixedDelay(RECONCILE_PERIOD, this::reconcile);
     }
 
     /**
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreCluster.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreCluster.java
@@ -84,7 +84,7 @@
     }
 
     private void poll(ManualEventLoop loop, ObjectKind kind, Consumer<List<SharedObject>> listener) {
-        loop.every(
+        loop.scheduleWithFixedDelay(
                 POLL_PERIOD,
                 () -> objects.list(kind).thenAccept(list -> loop.execute(() -> listener.accept(list.objects()))));
     }
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetTest.java
@@ -177,12 +177,12 @@
     public void thawedMemberAcceptsNoWritesOfOldEpoch() {
         StoreCluster cluster = StoreCluster.ofThree();
         Conversations entry = cluster.entry("e");
-        cluster.stores.get("a").loop.freeze();
+        cluster.stores.get("a").loop.pause();
         cluster.run(Duration.ofSeconds(2));
         cluster.add("d", false);
         cluster.run(SYNC_TIME);
         cluster.commitTurn(entry, "t1", "", "one", "x\n");
-        cluster.stores.get("a").loop.thaw();
+        cluster.stores.get("a").loop.resume();
         cluster.run(SYNC_TIME);
         assertChain(cluster, "t1", "one");
         assertTrue(cluster.stores.get("a").replica.isComplete());
