--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/NearestReadTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/NearestReadTest.java
@@ -54,7 +54,9 @@
             cluster.partition(unresponsive);
             long startNanos = cluster.time.nanos();
             assertEquals(chainText(begin(cluster, entry, "r2", "r1")), "said");
-            assertTrue(cluster.time.nanos() - startNanos < Duration.ofMillis(40).toNanos(), "unresponsive member " + unresponsive);
+            assertTrue(
+                    cluster.time.nanos() - startNanos < Duration.ofMillis(40).toNanos(),
+                    "unresponsive member " + unresponsive);
         }
     }
 
