--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Conversations.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Conversations.java
@@ -12,125 +12,125 @@
 import org.parsleydrift.kernel.StepException;
 
 /**
- * Begins and ends turns. Tokens are reserved first and counted after: the reservation goes to a write quorum, and only
- * then are the program's grants read from a read quorum and judged. Of any turns that begin at the same time, the last
- * to finish its write reads all others' reservations; so no set of them can pass together when the budget does not hold
- * them all. Judging on the replies to the write alone would let three pass pairwise.
+ * Begins and commits turns. A reservation is first written to a write quorum; only then are the grants of the program read
+ * from a read quorum and compared with the budget. Of several concurrent turns, the last to complete its write reads the
+ * reservations of all others, so together they cannot exceed the budget. Checking the replies to the write alone would
+ * not ensure this, since three reservations could each see just one of the others.
  */
 public final class Conversations {
     private static final Logger LOG = System.getLogger(Conversations.class.getName());
-    /** How long the store VMs are tried to give a reservation back, or to note the end of a turn that was passed on. */
-    private static final Duration BACKGROUND_PATIENCE = Duration.ofSeconds(20);
+    /** Timeout of writes on whose result no caller waits. */
+    private static final Duration BACKGROUND_WRITE_TIMEOUT = Duration.ofSeconds(20);
 
     private final ConversationClient client;
-    private final SpentPrograms spent = new SpentPrograms();
-    private final QuorumHealth health;
+    private final SettledTokenCache settledTokens = new SettledTokenCache();
+    private final QuorumCircuitBreaker circuitBreaker;
 
     /**
-     * Makes it.
+     * Creates an instance.
      *
-     * @param client the way to the store VMs
+     * @param client the client of the store VMs
      */
     public Conversations(ConversationClient client) {
         this.client = client;
-        this.health = new QuorumHealth(client::nanos);
+        this.circuitBreaker = new QuorumCircuitBreaker(client::nanos);
     }
 
     /**
-     * Reserves a turn's tokens and reads the chain that it goes on from.
+     * Reserves the tokens of a turn and reads the chain of turns that precede it.
      *
-     * @param begin what the turn needs
-     * @return whether it may run; never fails
+     * @param request the turn to begin
+     * @return completes with the outcome; never fails
      */
-    public CompletableFuture<BeginResult> begin(BeginRequest begin) {
-        int generated = spent.atLeast(begin.program());
-        if (begin.budget().isPresent()
-                && generated + begin.mostTokens() > begin.budget().getAsInt()) {
-            return CompletableFuture.completedFuture(new BeginResult.BudgetSpent(generated, generated));
+    public CompletableFuture<BeginResult> begin(BeginRequest request) {
+        int generatedTokens = settledTokens.lowerBound(request.program());
+        if (request.budget().isPresent()
+                && generatedTokens + request.maxTokens() > request.budget().getAsInt()) {
+            return CompletableFuture.completedFuture(new BeginResult.BudgetSpent(generatedTokens, generatedTokens));
         }
-        if (!health.mayTry()) {
+        if (!circuitBreaker.tryAcquire()) {
             return CompletableFuture.completedFuture(
-                    new BeginResult.Unavailable("no quorum answered the turn that tried last"));
+                    new BeginResult.Unavailable("no quorum of the store VMs answered the latest request"));
         }
-        long begunNanos = client.nanos();
-        CompletableFuture<Void> reserved = begin.budget().isEmpty()
+        long startNanos = client.nanos();
+        CompletableFuture<Void> reserved = request.budget().isEmpty()
                 ? CompletableFuture.completedFuture(null)
                 : client.write(
-                        List.of(grant(begin, GrantState.RESERVED)),
+                        List.of(grant(request, GrantState.RESERVED)),
                         Optional.empty(),
-                        begin.retention(),
-                        begin.patience());
-        return reserved.thenCompose(done -> client.read(begin.program(), begin.previous(), begin.patience()))
-                .thenCompose(found -> {
-                    storesAnswer();
-                    return judge(begin, found);
+                        request.retention(),
+                        request.timeout());
+        return reserved.thenCompose(done -> client.read(request.program(), request.previous(), request.timeout()))
+                .thenCompose(records -> {
+                    recordQuorumReply();
+                    return admit(request, records);
                 })
                 .exceptionally(failure -> {
-                    storesSilent(begunNanos, failure);
+                    recordQuorumFailure(startNanos, failure);
                     BeginResult result = new BeginResult.Unavailable(
                             StepException.unwrap(failure).getMessage());
                     return result;
                 })
                 .whenComplete((result, failure) -> {
-                    if (begin.budget().isPresent() && !(result instanceof BeginResult.Granted)) {
-                        release(begin.program(), begin.request(), begin.retention());
+                    if (request.budget().isPresent() && !(result instanceof BeginResult.Granted)) {
+                        release(request.program(), request.request(), request.retention());
                     }
                 });
     }
 
-    private void storesAnswer() {
-        if (health.answered()) {
-            LOG.log(Logger.Level.INFO, LogLine.of("stores_answer").toString());
+    private void recordQuorumReply() {
+        if (circuitBreaker.recordSuccess()) {
+            LOG.log(Logger.Level.INFO, LogLine.of("store_quorum_restored").toString());
         }
     }
 
-    private void storesSilent(long begunNanos, Throwable failure) {
-        if (health.waitedInVain(begunNanos)) {
+    private void recordQuorumFailure(long startNanos, Throwable failure) {
+        if (circuitBreaker.recordFailure(startNanos)) {
             LOG.log(
                     Logger.Level.WARNING,
-                    LogLine.of("stores_silent").failure(failure).toString());
+                    LogLine.of("store_quorum_lost").failure(failure).toString());
         }
     }
 
     /**
-     * Notes the end of a turn that ended whole.
+     * Commits a completed turn.
      *
-     * @param grant its grant, if the program has a budget
-     * @param turn what was said, if it is kept
-     * @param retention how long it is needed
-     * @param patience how long to try
-     * @return done once it survives
+     * @param grant its settled grant, if the program has a budget
+     * @param turn the turn, if the conversation is stored
+     * @param retention the retention period of both
+     * @param timeout how long to retry
+     * @return completes once a write quorum has both on disk; fails with StepException on a timeout
      */
     public CompletableFuture<Void> commit(
-            Optional<Grant> grant, Optional<Turn> turn, Duration retention, Duration patience) {
-        return client.write(grant.stream().toList(), turn, retention, patience);
+            Optional<Grant> grant, Optional<Turn> turn, Duration retention, Duration timeout) {
+        return client.write(grant.stream().toList(), turn, retention, timeout);
     }
 
     /**
-     * Gives a reservation back; only for a turn that no runner has begun or will begin.
+     * Releases a reservation in the background. Only valid if no runner has started the turn or will start it.
      *
      * @param program the program
-     * @param request the id of the request
-     * @param retention how long it is needed
+     * @param request the request ID
+     * @param retention the retention period of the released grant
      */
     public void release(String program, String request, Duration retention) {
         writeInBackground(new Grant(program, request, GrantState.RELEASED, 0, ""), retention);
     }
 
     /**
-     * Notes in the background what a turn that was passed on whole has generated.
+     * Writes a grant in the background; a failure is only logged.
      *
-     * @param grant the settled grant
-     * @param retention how long it is needed
+     * @param grant the grant
+     * @param retention the retention period of the grant
      */
     public void writeInBackground(Grant grant, Duration retention) {
-        client.write(List.of(grant), Optional.empty(), retention, BACKGROUND_PATIENCE)
+        client.write(List.of(grant), Optional.empty(), retention, BACKGROUND_WRITE_TIMEOUT)
                 .whenComplete((done, failure) -> {
                     if (failure != null) {
-                        // The reservation stays at its most, which errs on the side of the budget.
+                        // The reservation still counts with its maximum, so the budget is not exceeded.
                         LOG.log(
                                 Logger.Level.WARNING,
-                                () -> LogLine.of("grant_not_noted")
+                                () -> LogLine.of("grant_write_failed")
                                         .with("program", grant.program())
                                         .with("request", grant.request())
                                         .with("state", grant.state())
@@ -140,43 +140,43 @@
                 });
     }
 
-    private CompletableFuture<BeginResult> judge(BeginRequest begin, ConversationClient.Joined found) {
-        spent.settled(
-                begin.program(),
-                found.grants().values().stream()
+    private CompletableFuture<BeginResult> admit(BeginRequest request, ConversationClient.MergedRecords records) {
+        settledTokens.update(
+                request.program(),
+                records.grants().values().stream()
                         .filter(each -> each.state() == GrantState.SETTLED)
                         .mapToInt(Grant::countedTokens)
                         .sum());
-        int counted = found.grants().values().stream()
-                .filter(each -> !each.request().equals(begin.request()))
+        int countedTokens = records.grants().values().stream()
+                .filter(each -> !each.request().equals(request.request()))
                 .mapToInt(Grant::countedTokens)
                 .sum();
-        if (begin.budget().isPresent()
-                && counted + begin.mostTokens() > begin.budget().getAsInt()) {
+        if (request.budget().isPresent()
+                && countedTokens + request.maxTokens() > request.budget().getAsInt()) {
             return CompletableFuture.completedFuture(
-                    new BeginResult.BudgetSpent(counted, spent.atLeast(begin.program())));
+                    new BeginResult.BudgetSpent(countedTokens, settledTokens.lowerBound(request.program())));
         }
-        List<Grant> settled = found.grants().values().stream()
+        List<Grant> settled = records.grants().values().stream()
                 .filter(each -> each.state() == GrantState.SETTLED)
                 .toList();
-        if (!begin.previous().isEmpty() && !found.turnIds().contains(begin.previous())) {
+        if (!request.previous().isEmpty() && !records.turnIds().contains(request.previous())) {
             return CompletableFuture.completedFuture(new BeginResult.NoSuchTurn());
         }
-        return assemble(begin, found.turns(), settled, true);
+        return assembleChain(request, records.turns(), settled, true);
     }
 
-    /** Each member gives the chain as far as it holds it; a hole in what they hold together is looked for once more. */
-    private CompletableFuture<BeginResult> assemble(
-            BeginRequest begin, Map<String, Turn> turns, List<Grant> settled, boolean mayFetch) {
+    /** Assembles the chain from the turns read; reads a missing turn and those before it from all members. */
+    private CompletableFuture<BeginResult> assembleChain(
+            BeginRequest request, Map<String, Turn> turns, List<Grant> settled, boolean canFetch) {
         Deque<Turn> chain = new ArrayDeque<>();
-        String id = begin.previous();
+        String id = request.previous();
         while (!id.isEmpty()) {
             Turn turn = turns.get(id);
             if (turn == null) {
-                return mayFetch
-                        ? fetchHole(begin, turns, settled, id)
-                        : CompletableFuture.completedFuture(
-                                new BeginResult.Unavailable("turn " + id + " of the chain was not found"));
+                return canFetch
+                        ? fetchMissingTurn(request, turns, settled, id)
+                        : CompletableFuture.completedFuture(new BeginResult.Unavailable(
+                                "turn " + id + " of the chain was not found at a read quorum"));
             }
             chain.addFirst(turn);
             id = turn.previous();
@@ -184,15 +184,15 @@
         return CompletableFuture.completedFuture(new BeginResult.Granted(List.copyOf(chain), settled));
     }
 
-    private CompletableFuture<BeginResult> fetchHole(
-            BeginRequest begin, Map<String, Turn> turns, List<Grant> settled, String missing) {
-        return client.readAtAll("", missing, begin.patience()).thenCompose(more -> {
+    private CompletableFuture<BeginResult> fetchMissingTurn(
+            BeginRequest request, Map<String, Turn> turns, List<Grant> settled, String missing) {
+        return client.readFromAll("", missing, request.timeout()).thenCompose(more -> {
             turns.putAll(more.turns());
-            return assemble(begin, turns, settled, more.turns().containsKey(missing));
+            return assembleChain(request, turns, settled, more.turns().containsKey(missing));
         });
     }
 
-    private static Grant grant(BeginRequest begin, GrantState state) {
-        return new Grant(begin.program(), begin.request(), state, begin.mostTokens(), "");
+    private static Grant grant(BeginRequest request, GrantState state) {
+        return new Grant(request.program(), request.request(), state, request.maxTokens(), "");
     }
 }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Grant.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Grant.java
@@ -1,16 +1,16 @@
 package org.parsleydrift.conversation;
 
 /**
- * Tokens of a program's budget that one request may generate or has generated, and what the runner that served it holds
- * since. Any entry node may get the program's next request; it finds here where the prompt need not be read again.
+ * A share of a program's token budget that is reserved for or was used by one request, and the prompt prefix that the
+ * serving runner has cached since. Any entry node can use it to route the next request of the program to that runner.
  *
  * @param program the program
- * @param request the id of the request
- * @param state how far the request is
- * @param tokens the most it may generate, or once settled what it generated
- * @param runner the life of the runner that served it; empty if none is known
- * @param promptPart the last part of its prompt, which the line of turns that it belongs to goes on to extend; empty for none
- * @param cachedTokens tokens of that part that the runner holds: those of the prompt and those that it generated
+ * @param request the request ID
+ * @param state the state of the grant
+ * @param tokens the maximum number of tokens that the request may generate; once settled, the number it generated
+ * @param runner the incarnation of the runner that served the request; empty if unknown
+ * @param promptPart the ID of the last part of the request's prompt, which later turns extend; empty if unknown
+ * @param cachedTokens the tokens cached on the runner up to and including the generated ones; 0 if unknown
  */
 public record Grant(
         String program,
@@ -21,36 +21,36 @@
         String promptPart,
         int cachedTokens) {
     /**
-     * Makes a grant of which no more than its tokens is known.
+     * Creates a grant without information on the cached prompt prefix.
      *
      * @param program the program
-     * @param request the id of the request
-     * @param state how far the request is
-     * @param tokens the most it may generate, or once settled what it generated
-     * @param runner the life of the runner that served it; empty if none is known
+     * @param request the request ID
+     * @param state the state of the grant
+     * @param tokens the maximum number of tokens that the request may generate; once settled, the number it generated
+     * @param runner the incarnation of the runner that served the request; empty if unknown
      */
     public Grant(String program, String request, GrantState state, int tokens, String runner) {
         this(program, request, state, tokens, runner, "", 0);
     }
 
     /**
-     * Joins what two members know of one grant: a later state wins.
+     * Merges two replicas of one grant.
      *
-     * @param other the other member's
-     * @return the later of both
+     * @param other the other replica
+     * @return the one with the later state; this one if the states are equal
      */
     public Grant merge(Grant other) {
-        return other.laterThan(this) ? other : this;
+        return other.isLaterThan(this) ? other : this;
     }
 
-    boolean laterThan(Grant other) {
+    boolean isLaterThan(Grant other) {
         return state.compareTo(other.state) > 0;
     }
 
     /**
-     * What counts against the budget.
+     * Returns the number of tokens that count against the budget.
      *
-     * @return tokens
+     * @return 0 for a released grant, else {@link #tokens}
      */
     public int countedTokens() {
         return state == GrantState.RELEASED ? 0 : tokens;
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetJson.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetJson.java
@@ -11,17 +11,17 @@
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 
-/** The set of store VMs as JSON: {"epoch": 3, "members": [{"name", "disk", "address"}], "previous": [..]}. */
+/** Converts store sets to and from JSON: {"epoch": 3, "members": [{"name", "disk", "address"}], "previous": [..]}. */
 public final class StoreSetJson {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private StoreSetJson() {}
 
     /**
-     * Writes a set.
+     * Serializes a store set.
      *
-     * @param set the set
-     * @return JSON
+     * @param set the store set
+     * @return JSON in UTF-8
      */
     public static byte[] write(StoreSet set) {
         ObjectNode root = MAPPER.createObjectNode().put("epoch", set.epoch());
@@ -31,32 +31,32 @@
     }
 
     /**
-     * Reads a set.
+     * Parses a store set.
      *
-     * @param json JSON
-     * @return the set
-     * @throws StepException if it is none
+     * @param json JSON in UTF-8
+     * @return the store set
+     * @throws StepException if the JSON is malformed, lacks a field, has a non-integer epoch or no members
      */
     public static StoreSet read(byte[] json) {
         try {
             JsonNode root = MAPPER.readTree(json);
             if (!root.required("epoch").isIntegralNumber()
                     || root.path("members").isEmpty()) {
-                throw new IllegalArgumentException("epoch is no whole number, or there are no members");
+                throw new IllegalArgumentException("epoch must be an integer and members must not be empty");
             }
             return new StoreSet(
                     root.required("epoch").asLong(),
                     members(root.required("members")),
                     members(root.required("previous")));
         } catch (IOException | IllegalArgumentException fault) {
-            throw new StepException(Step.PARSE, "platform", "bad store set: " + fault.getMessage());
+            throw new StepException(Step.PARSE, "platform", "invalid store set: " + fault.getMessage());
         }
     }
 
     private static void members(ArrayNode out, List<StoreMember> members) {
         members.forEach(each -> out.addObject()
                 .put("name", each.name())
-                .put("disk", each.disk())
+                .put("disk", each.diskId())
                 .put("address", each.address()));
     }
 
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/SetChangeTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/MembershipPolicyTest.java
@@ -9,57 +9,53 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** When a member that is to be emptied may leave the set. */
-public class SetChangeTest {
-    /** A bound that no set here reaches. */
-    private static final int ANY = 100;
+/** Decisions on retiring, joining and replaced members. */
+public class MembershipPolicyTest {
+    /** A maximum size that no set in this test reaches. */
+    private static final int UNLIMITED = 100;
 
     private static Optional<Integer> membersAfterRetiringA(String... names) {
         List<StoreMember> members = Stream.of(names)
                 .map(name -> new StoreMember(name, name, "disk-" + name))
                 .toList();
         StoreSet set = new StoreSet(1, members, List.of());
-        Set<String> disks = members.stream().map(StoreMember::disk).collect(Collectors.toSet());
-        return SetChange.decide(new SetChange.View(members.getLast(), set, disks, Set.of(), Set.of("a"), 1, ANY))
+        Set<String> diskIds = members.stream().map(StoreMember::diskId).collect(Collectors.toSet());
+        return MembershipPolicy.nextSet(
+                        new MembershipPolicy.View(members.getLast(), set, diskIds, Set.of(), Set.of("a"), 1, UNLIMITED))
                 .map(next -> next.members().size());
     }
 
-    /**
-     * Symptom: no turn can begin any more, for good. Events: of two members one is to be emptied and leaves; then the
-     * other one's disk is lost. Cause: all records were left to a single disk.
-     */
+    /** Guards against leaving all records on a single disk when one of two members is retired. */
     @Test
-    public void theOtherOfTwoIsNotLeftAlone() {
+    public void keepsBothMembersOfTwo() {
         assertEquals(membersAfterRetiringA("a", "b"), Optional.empty());
     }
 
-    private static Optional<StoreSet> joined(Set<String> silent, Set<String> retiring) {
+    private static Optional<StoreSet> joined(Set<String> unresponsive, Set<String> retiringVms) {
         List<StoreMember> members = Stream.of("a", "b", "c", "d", "e")
                 .map(name -> new StoreMember(name, name, "disk-" + name))
                 .toList();
         StoreSet set = new StoreSet(1, members, List.of());
-        Set<String> disks = members.stream().map(StoreMember::disk).collect(Collectors.toSet());
+        Set<String> diskIds = members.stream().map(StoreMember::diskId).collect(Collectors.toSet());
         StoreMember standby = new StoreMember("f", "f", "disk-f");
-        return SetChange.decide(new SetChange.View(standby, set, disks, silent, retiring, 2, 5));
+        return MembershipPolicy.nextSet(
+                new MembershipPolicy.View(standby, set, diskIds, unresponsive, retiringVms, 2, 5));
     }
 
     private static List<String> names(Optional<StoreSet> set) {
         return set.orElseThrow().members().stream().map(StoreMember::name).toList();
     }
 
-    /**
-     * Every store VM held every record, so a turn was written to ten disks where five are enough. A VM more than are wanted
-     * stands by, and is there when one is lost.
-     */
+    /** Guards against a set that grows beyond its maximum size and writes each turn to more disks than needed. */
     @Test
-    public void oneMoreThanAreWantedStandsBy() {
+    public void standbyDoesNotJoinFullSet() {
         assertEquals(joined(Set.of(), Set.of()), Optional.empty());
         assertEquals(names(joined(Set.of("c"), Set.of())), List.of("a", "b", "d", "e", "f"));
     }
 
-    /** A VM that is to be emptied leaves as another one comes, so that the set bears as many losses meanwhile. */
+    /** Guards against a set that tolerates fewer losses while a member is retired. */
     @Test
-    public void aStandbyTakesThePlaceOfAMemberThatIsToBeEmptied() {
+    public void standbyReplacesRetiringMember() {
         assertEquals(names(joined(Set.of(), Set.of("b"))), List.of("a", "c", "d", "e", "f"));
     }
 }
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetAtScaleTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetAtScaleTest.java
@@ -10,92 +10,78 @@
 import org.parsleydrift.registry.ObjectKind;
 import org.testng.annotations.Test;
 
-/** Sets with many store VMs. */
+/** Polling and membership in large store sets. */
 public class StoreSetAtScaleTest {
     private static final int MEMBERS = 12;
-    private static final Duration QUIET = Duration.ofSeconds(3);
-    /** Some 50 us of processor time a frame make one ms a VM and second. */
-    private static final int MOST_FRAMES_A_SECOND = 20;
+    private static final Duration SETTLE_TIME = Duration.ofSeconds(3);
+    private static final int MAX_FRAMES_PER_VM_SECOND = 20;
 
     private static StoreCluster ofTwelve() {
         StoreCluster cluster = StoreCluster.of(IntStream.range(0, MEMBERS)
                 .mapToObj(each -> String.format("s%02d", each))
                 .toList());
-        cluster.run(QUIET);
+        cluster.run(SETTLE_TIME);
         assertEquals(members(cluster, "s03").size(), MEMBERS);
         return cluster;
     }
 
-    private static List<String> members(StoreCluster cluster, String asked) {
-        return cluster.stores.get(asked).replica.set().orElseThrow().members().stream()
+    private static List<String> members(StoreCluster cluster, String vm) {
+        return cluster.stores.get(vm).replica.set().orElseThrow().members().stream()
                 .map(StoreMember::name)
                 .collect(Collectors.toList());
     }
 
-    /**
-     * Symptom: twelve store VMs that serve nothing use more processor time than the turns of a busy day. Events: none.
-     * Cause: each asks each other one how far it is, several times a second, and tells it the whole set each time.
-     */
+    /** Guards against polling between all pairs of members, whose cost grows with the square of the set size. */
     @Test
-    public void aSetAtRestCostsFewFrames() {
+    public void idleSetSendsFewFrames() {
         StoreCluster cluster = ofTwelve();
         int before = cluster.sentFrames();
-        cluster.run(QUIET);
-        long most = MOST_FRAMES_A_SECOND * MEMBERS * QUIET.toSeconds();
+        cluster.run(SETTLE_TIME);
+        long limit = MAX_FRAMES_PER_VM_SECOND * MEMBERS * SETTLE_TIME.toSeconds();
         int sent = cluster.sentFrames() - before;
-        assertTrue(sent <= most, sent + " frames of " + most);
+        assertTrue(sent <= limit, sent + " frames sent, limit " + limit);
     }
 
-    /**
-     * Symptom: a VM that is gone for good stays a member. Events: the members that others rely on to notice a silent one
-     * die, the first two of the set; then one of the others does. Cause: nobody asks the members any more.
-     */
+    /** Guards against a failure that goes undetected because the members that poll all others have failed too. */
     @Test
-    public void silentMembersAreNoticedThoughTheFirstOnesAreGone() {
+    public void detectsFailuresAfterFirstMembersFailed() {
         StoreCluster cluster = ofTwelve();
-        List.of("s00", "s01", "s07").forEach(name -> cluster.stores.get(name).die());
+        List.of("s00", "s01", "s07").forEach(name -> cluster.stores.get(name).stop());
         cluster.run(Duration.ofSeconds(6));
         List<String> left = members(cluster, "s05");
         assertTrue(left.stream().noneMatch(List.of("s00", "s01", "s07")::contains), left.toString());
         assertEquals(left.size(), MEMBERS - 3);
     }
 
-    /**
-     * Symptom: a member is dropped that was never silent. Events: the first member dies, so that the second asks all others,
-     * whom it has not asked for seconds. Cause: the time since their last answer is taken for silence.
-     */
+    /** Guards against a new coordinator that takes members for unresponsive because it did not poll them before. */
     @Test
-    public void aMemberThatWasNotAskedIsNotSilent() {
+    public void unpolledMemberIsNotRemoved() {
         StoreCluster cluster = ofTwelve();
-        cluster.stores.get("s00").die();
+        cluster.stores.get("s00").stop();
         cluster.run(Duration.ofSeconds(6));
         assertEquals(members(cluster, "s05").size(), MEMBERS - 1);
     }
 
-    /**
-     * Symptom: an answered turn is gone. Events: of five members, two disks of which may be lost at once, two that hold a
-     * turn are cut off; they are back, and two of the others lose their disks together. Cause: the set shrank to three while
-     * two were silent, or the emptied ones counted again before they had copied.
-     */
+    /** Guards against losing a turn when two members are partitioned and two others lose their disks afterwards. */
     @Test
-    public void aPairOfDisksLostAfterAPairWasCutOffLosesNothing() {
+    public void turnsSurviveTwoDiskLossesAfterPartition() {
         StoreCluster cluster = StoreCluster.of(List.of("a", "b", "c", "d", "e"), 2);
         Conversations entry = cluster.entry("x");
-        List.of("d", "e").forEach(cluster::cut);
+        List.of("d", "e").forEach(cluster::partition);
         cluster.run(Duration.ofSeconds(4));
-        cluster.keepTurn(entry, "t1", "", "one", "x\n");
+        cluster.commitTurn(entry, "t1", "", "one", "x\n");
         assertEquals(members(cluster, "a").size(), 5);
         List.of("d", "e").forEach(cluster::heal);
         cluster.run(Duration.ofSeconds(4));
         List.of("a", "b").forEach(cluster::wipe);
         cluster.run(Duration.ofSeconds(6));
-        BeginResult result = cluster.await(entry.begin(StoreCluster.begin("p", "t2", 1000, 10, "t1")));
+        BeginResult result = cluster.await(entry.begin(StoreCluster.beginRequest("p", "t2", 1000, 10, "t1")));
         assertTrue(result instanceof BeginResult.Granted, result.toString());
     }
 
-    /** Symptom: records lie on two disks where two may be lost. Events: three of five VMs are to be emptied. */
+    /** Guards against retirements that leave no more copies than the tolerated losses. */
     @Test
-    public void moreMembersStayThanDisksMayBeLost() {
+    public void retirementsLeaveMoreMembersThanToleratedLosses() {
         StoreCluster cluster = StoreCluster.of(List.of("a", "b", "c", "d", "e"), 2);
         List.of("a", "b", "c")
                 .forEach(name -> cluster.objects.write(ObjectKind.RETIREMENTS, name, new byte[] {'{', '}'}));
@@ -103,14 +89,11 @@
         assertEquals(members(cluster, "e").size(), 3);
     }
 
-    /**
-     * Symptom: a store VM stays outside the set for good. Events: one that doesn't watch the platform is cut off until it
-     * is dropped, and is back. Cause: nobody tells a VM that is no member of a newer set.
-     */
+    /** Guards against a removed member that never learns of the newer set and therefore does not rejoin. */
     @Test
-    public void aMemberThatWasDroppedWhileAwayComesBack() {
+    public void removedMemberRejoins() {
         StoreCluster cluster = ofTwelve();
-        cluster.cut("s09");
+        cluster.partition("s09");
         cluster.run(Duration.ofSeconds(6));
         assertEquals(members(cluster, "s05").size(), MEMBERS - 1);
         cluster.heal("s09");
@@ -118,18 +101,18 @@
         assertEquals(members(cluster, "s05").size(), MEMBERS);
     }
 
-    /** Two members watch the platform for all; when they are gone, two others do. */
+    /** Guards against more watchers of the shared object than needed, and against having none after failures. */
     @Test
     public void twoMembersWatch() {
         StoreCluster cluster = ofTwelve();
-        assertEquals(watching(cluster), 2);
-        List.of("s00", "s01").forEach(name -> cluster.stores.get(name).die());
+        assertEquals(watcherCount(cluster), 2);
+        List.of("s00", "s01").forEach(name -> cluster.stores.get(name).stop());
         cluster.run(Duration.ofSeconds(6));
         List.of("s00", "s01").forEach(cluster.stores::remove);
-        assertEquals(watching(cluster), 2);
+        assertEquals(watcherCount(cluster), 2);
     }
 
-    private static long watching(StoreCluster cluster) {
-        return cluster.stores.values().stream().filter(each -> each.watches).count();
+    private static long watcherCount(StoreCluster cluster) {
+        return cluster.stores.values().stream().filter(each -> each.isWatcher).count();
     }
 }
