--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Allotment.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Allotment.java
@@ -1,29 +1,29 @@
 package org.parsleydrift.registry;
 
 /**
- * How many requests of a team may run, over all nodes together.
+ * Limit on the requests of a team, counted over all nodes together.
  *
- * @param ratePerSecond requests a second; 0 for no limit
- * @param burst requests on top of the rate in any window
+ * @param ratePerSecond requests per second; 0 for no limit
+ * @param burst requests allowed on top of the rate in any window
  */
 public record Allotment(double ratePerSecond, double burst) {
     /** No limit. */
     public static final Allotment UNLIMITED = new Allotment(0, 0);
 
     /**
-     * Whether there is a limit at all.
+     * Whether a limit is set.
      *
-     * @return true if requests of the team are to be counted
+     * @return true if the requests of the team must be counted
      */
     public boolean limited() {
         return ratePerSecond > 0;
     }
 
     /**
-     * Requests that may run in a window.
+     * Returns the number of requests allowed in a window.
      *
-     * @param windowSeconds the length of the window, s
-     * @return requests
+     * @param windowSeconds length of the window, s
+     * @return rate times window plus burst; meaningless without a limit
      */
     public double most(double windowSeconds) {
         return ratePerSecond * windowSeconds + burst;
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/CallKind.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/CallKind.java
@@ -1,11 +1,11 @@
 package org.parsleydrift.registry;
 
-/** What a route says of its requests: whether they may be repeated, and how they are answered. */
+/** Retry and response semantics of the requests of a route. */
 public enum CallKind {
-    /** May run more than once. */
+    /** Can be executed more than once. */
     IDEMPOTENT,
-    /** Runs at most once for each request id. */
+    /** Executed at most once per request id. */
     NON_IDEMPOTENT,
-    /** Answered by a series of events; runs at most once unless the route is resumable. */
+    /** Answered with a stream of events; executed at most once unless the route is resumable. */
     STREAMING
 }
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/CallerLimits.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/CallerLimits.java
@@ -3,21 +3,21 @@
 import java.time.Duration;
 
 /**
- * What callers may send, and how long they may take.
+ * Size limits and timeouts for connections and requests of callers.
  *
- * @param maxHeaderBytes the longest head of a request
- * @param maxBodyBytes the longest body
- * @param headerTimeout time for a head to arrive whole
- * @param idleTimeout time for which a connection may stay idle
+ * @param maxHeaderBytes maximum size of the request head, bytes
+ * @param maxBodyBytes maximum size of the request body, bytes
+ * @param headerTimeout time within which the complete head must arrive
+ * @param idleTimeout time after which an idle connection is closed
  */
 public record CallerLimits(int maxHeaderBytes, int maxBodyBytes, Duration headerTimeout, Duration idleTimeout) {
     private static final int DEFAULT_HEADER_BYTES = 16 << 10;
     private static final int DEFAULT_BODY_BYTES = 4 << 20;
 
     /**
-     * Limits for the time before a manifest is known.
+     * Limits that apply until a manifest has been received.
      *
-     * @return usual limits
+     * @return default limits
      */
     public static CallerLimits defaults() {
         return new CallerLimits(
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Destination.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Destination.java
@@ -1,9 +1,9 @@
 package org.parsleydrift.registry;
 
 /**
- * A share of a route's requests.
+ * Weighted target of a route.
  *
- * @param service the service that gets them
- * @param weight its weight among the route's destinations
+ * @param service name of the service that receives the requests
+ * @param weight weight relative to the other destinations of the route
  */
 public record Destination(String service, int weight) {}
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/KnowledgeAge.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/KnowledgeAge.java
@@ -6,15 +6,14 @@
 import org.parsleydrift.kernel.RuntimeClock;
 
 /**
- * Up to which moment a node's knowledge of one kind of objects is complete. A watch that waits says nothing of that: if
- * its connection or the platform has gone silent it looks like one without news. Only a call that was answered proves
- * completeness, up to the moment at which it was asked, whoever asked it: a node that knows no less than another is as
- * complete as that one.
+ * Staleness of a node's local copy of one kind of shared objects. A pending watch does not prove that the copy is
+ * current: a dead connection looks like a watch without changes. Only an answered request does, as of the time when the
+ * request was sent. The request may be this node's own or that of a peer whose copy is no newer.
  */
 public final class KnowledgeAge {
     /**
-     * Knowledge that is older is not taken for the newest. Operators' changes are in force, and leaving runners get
-     * nothing more, two seconds after the platform has acknowledged them.
+     * Staleness above which the local copy is not considered current. Configuration changes and drains must take effect
+     * within this time after the platform has acknowledged them.
      */
     public static final Duration SILENCE = Duration.ofSeconds(2);
 
@@ -25,9 +24,9 @@
     private boolean silent;
 
     /**
-     * Starts with nothing known.
+     * Creates a tracker for a copy that has not been read yet.
      *
-     * @param clock measures the age
+     * @param clock clock that staleness is measured with
      */
     public KnowledgeAge(RuntimeClock clock) {
         this.clock = clock;
@@ -35,38 +34,39 @@
     }
 
     /**
-     * The age.
+     * Returns the staleness of the local copy.
      *
-     * @return time since the moment up to which the knowledge is complete; before the first answer since this was made
+     * @return time since the copy was known to be complete; before the first answer, time since this tracker was
+     *     created
      */
     public Duration age() {
         return since(completeNanos.orElse(madeNanos));
     }
 
     /**
-     * The age by this node's own answered calls alone. Only this may be told to others: an age that goes from node to node
-     * loses the time that each telling takes, and would come back younger than it went.
+     * Returns the staleness derived from this node's own requests only. Peers are sent this value: a staleness relayed
+     * from node to node would lose the time spent in transit and come back too small.
      *
-     * @return time since the newest own call was asked that was answered; empty before the first
+     * @return time since the latest answered own request was sent; empty before the first answer
      */
     public Optional<Duration> answeredAge() {
         return answeredNanos.isPresent() ? Optional.of(since(answeredNanos.getAsLong())) : Optional.empty();
     }
 
     /**
-     * Whether no call was answered that was asked after a moment.
+     * Whether no request sent at or after a time has been answered.
      *
-     * @param nanos the moment, on the clock
-     * @return whether all answered calls were asked before it
+     * @param nanos time on the clock, ns
+     * @return true if every answered request was sent before that time
      */
     boolean answeredBefore(long nanos) {
         return answeredNanos.isEmpty() || answeredNanos.getAsLong() - nanos < 0;
     }
 
     /**
-     * Notes a silence once the age is above {@link #SILENCE}.
+     * Detects an outage when the staleness exceeds {@link #SILENCE}.
      *
-     * @return whether a silence began with this call
+     * @return true if an outage begins with this call
      */
     boolean noticeSilence() {
         boolean begins = !silent && completeNanos.isPresent() && age().compareTo(SILENCE) > 0;
@@ -75,10 +75,10 @@
     }
 
     /**
-     * Notes that a call of this node was answered.
+     * Records that a request of this node was answered.
      *
-     * @param askedNanos when it was asked, on the clock
-     * @return whether a silence ended with this call
+     * @param askedNanos time on the clock at which the request was sent, ns
+     * @return true if an outage ends with this call
      */
     boolean answered(long askedNanos) {
         answeredNanos = later(answeredNanos, askedNanos);
@@ -86,10 +86,10 @@
     }
 
     /**
-     * Notes that the knowledge is complete up to a moment.
+     * Records that the local copy is complete as of a time.
      *
-     * @param nanos the moment, on the clock
-     * @return whether a silence ended with this call
+     * @param nanos time on the clock, ns
+     * @return true if an outage ends with this call
      */
     boolean completeAt(long nanos) {
         completeNanos = later(completeNanos, nanos);
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/NewestLives.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/NewestLives.java
@@ -4,11 +4,10 @@
 import java.util.Map;
 
 /**
- * The newest start seen of each runner id. News of a runner come by several ways, and an entry written by a former life
- * may arrive after one of the present life; taken in, it would bring back an address or a state that is gone.
+ * Latest incarnation seen of each runner id. Entries of a runner arrive by several paths, so an entry of an earlier
+ * incarnation may arrive after one of the current incarnation and must be ignored.
  */
 final class NewestLives {
-    /** Ids remembered; some 100 bytes each, four times the runners of the largest deployment. */
     private static final int MOST = 16_384;
 
     private final Map<String, Long> bornMillis = new LinkedHashMap<>() {
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectDecoder.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectDecoder.java
@@ -1,20 +1,20 @@
 package org.parsleydrift.registry;
 
-/** Reads the contents of shared objects. Both methods throw StepException on content that makes no sense. */
+/** Decodes the contents of shared objects. Both methods throw StepException on invalid content. */
 public interface ObjectDecoder {
     /**
-     * Reads a manifest.
+     * Decodes a manifest.
      *
-     * @param content the content
+     * @param content encoded manifest
      * @return the manifest
      */
     RoutingManifest manifest(byte[] content);
 
     /**
-     * Reads a runner's entry.
+     * Decodes the entry of a runner.
      *
-     * @param name the entry's name, which is the runner's id
-     * @param content the content
+     * @param name name of the entry, which is the runner's id
+     * @param content encoded entry
      * @return the runner
      */
     Runner runner(String name, byte[] content);
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectFollower.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectFollower.java
@@ -11,20 +11,21 @@
 import org.parsleydrift.kernel.platform.StoreFailure;
 
 /**
- * Follows one kind of shared objects: a list, then watches, each resumed where the previous one ended. After a failure
- * it waits a random, growing time, so that many nodes don't come back together; when the history is gone it lists anew.
+ * Keeps a local copy of one kind of shared objects up to date: one list, then consecutive watches, each starting at the
+ * revision where the previous one ended. Failed requests are retried with exponential backoff and jitter. If the
+ * platform no longer has the history after the known revision, the objects are listed again.
  *
- * <p>Where nodes that follow the same kind tell each other how old their knowledge is, they also check: when it grows old
- * one of them asks for changes without waiting. A watch may be silent for as long as it waits, at all nodes at once.
+ * <p>Peers that watch the same kind exchange the staleness of their copies. When a copy becomes stale, a node requests
+ * the changes without waiting, since a watch cannot be told from a dead connection while it is pending.
  */
 public final class ObjectFollower {
     private static final Logger LOG = System.getLogger(ObjectFollower.class.getName());
-    /** Pause after the first failure, ms; short, since drains must be known within about two seconds. */
+    /** Short, because drains must be known to all nodes within two seconds. */
     private static final long FIRST_PAUSE_MILLIS = 60;
-    /** Longest pause between tries, ms: a quarter of the time in which a drain must be known. */
     private static final long LAST_PAUSE_MILLIS = 500;
     /**
-     * After a silence each node that watches asks anew within this time, ms, while news reach all over the one that checked.
+     * Maximum delay before the watch is restarted after an outage, so that nodes do not restart their watches all at
+     * once.
      */
     private static final long REWATCH_SPREAD_MILLIS = 300;
 
@@ -47,16 +48,16 @@
     private long checkAskedNanos;
 
     /**
-     * Makes a follower; {@link #start} starts it.
+     * Creates a watcher; {@link #start} starts it.
      *
-     * @param kind the kind to follow
-     * @param objects where from
-     * @param loop runs it
-     * @param random spreads tries
-     * @param longestWait the longest wait of a watch; each waits a random time from half of it, so that nodes don't ask
-     *     anew together
-     * @param table takes in what is learned
-     * @param listener is told of news
+     * @param kind kind to watch
+     * @param objects source of the objects
+     * @param loop event loop that runs the watcher
+     * @param random source of jitter for retries and watches
+     * @param longestWait maximum duration of a watch; each watch takes a random time between half of it and all of it,
+     *     so that nodes do not renew their watches all at once
+     * @param table local copy, updated with each change
+     * @param listener receives changes and reachability
      */
     public ObjectFollower(
             ObjectKind kind,
@@ -76,33 +77,35 @@
         this.age = new KnowledgeAge(loop.clock());
     }
 
-    /** Receives what a follower learns, on its loop. */
+    /** Receives changes and reachability of the platform, on the event loop of the watcher. */
     public interface Listener {
         /**
-         * Changes were taken in.
+         * Called after changes were applied to the local copy.
          *
-         * @param news the changes that were news
+         * @param news the changes that were new to this node
          */
         void changed(List<SharedObject> news);
 
         /**
-         * The platform has been silent for longer than {@link KnowledgeAge#SILENCE}, or a silence has ended.
+         * Called when an outage of the platform begins, because the staleness exceeds {@link KnowledgeAge#SILENCE}, and
+         * when it ends.
          *
-         * @param reached whether it answers this node or one that this node hears of
+         * @param reached false when an outage begins, true when it ends
          */
         void reached(boolean reached);
     }
 
-    /** Starts following. */
+    /** Lists the objects and starts watching. */
     public void start() {
         next(++run);
     }
 
     /**
-     * Notices a silence of the platform, and asks for changes where the knowledge has grown old. To be called several
-     * times within that age.
+     * Detects an outage of the platform, and requests changes if the local copy is stale. Call this several times
+     * within that staleness.
      *
-     * @param checkAfter the age at which this node is to ask; differs among nodes, so that few ask at a time
+     * @param checkAfter staleness at which this node requests changes; differs between nodes, so that few of them do at
+     *     a time
      */
     public void lookAtAge(Duration checkAfter) {
         noticeSilence();
@@ -113,10 +116,10 @@
     }
 
     /**
-     * Has this node watch, or leaves that to others who pass on what they learn. A watch that waits goes on to its end, and
-     * the first list is asked for in any case.
+     * Enables or disables watching. A pending watch continues to its end, and the initial list is requested in any
+     * case.
      *
-     * @param watches whether to watch
+     * @param watches true to watch; false to rely on the changes that peers forward
      */
     public void follow(boolean watches) {
         following = watches;
@@ -126,16 +129,17 @@
     }
 
     /**
-     * Drops the present watch and asks anew: another node knows more, so this watch has gone silent or is turned away.
+     * Abandons the pending watch and sends a new one. Used when a peer has newer objects, which means that the watch is
+     * dead or being rejected.
      */
     public void restart() {
         next(++run);
     }
 
     /**
-     * How old this node's knowledge may be.
+     * Returns the staleness of the local copy.
      *
-     * @return the time since the newest call was asked, by this node or by one that knows no more, that was answered
+     * @return time since the latest answered request was sent, by this node or by a peer whose copy is no newer
      */
     public Duration age() {
         return age.age();
@@ -144,25 +148,25 @@
     /**
      * Whether the platform answers this node.
      *
-     * @return whether the newest call that has ended was answered; true before the first
+     * @return result of the latest completed request; true before the first
      */
     public boolean answered() {
         return answered;
     }
 
     /**
-     * How old this node's knowledge may be by its own calls.
+     * Returns the staleness derived from this node's own requests only.
      *
-     * @return the time since its newest call was asked that was answered; empty before the first
+     * @return time since the latest answered request of this node was sent; empty before the first answer
      */
     public Optional<Duration> answeredAge() {
         return age.answeredAge();
     }
 
     /**
-     * Notes that this node's knowledge is complete up to a moment: a peer that knows no more has been answered.
+     * Records that the local copy is complete as of a time, because a peer whose copy is no newer got an answer.
      *
-     * @param nanos when the peer asked, on this loop's clock
+     * @param nanos time on the clock of this loop at which the peer sent its request, ns
      */
     public void completeAt(long nanos) {
         if (age.completeAt(nanos)) {
@@ -216,7 +220,10 @@
         }
     }
 
-    /** Entries of other writers may hold anything; one that trips the listener must not end the following of all. */
+    /**
+     * Contains failures of the listener: entries written by other programs may hold anything, and must not stop the
+     * watch.
+     */
     private void tellNews(List<SharedObject> news) {
         try {
             listener.changed(news);
@@ -272,7 +279,7 @@
         List<SharedObject> news = table.apply(changes);
         answeredWhatWasAsked(asked);
         if (!news.isEmpty()) {
-            // The watch would have brought these: it has gone silent.
+            // The watch should have delivered these changes, so its connection is dead.
             LOG.log(
                     Logger.Level.INFO,
                     () -> LogLine.of("news_missed_by_watch")
@@ -329,7 +336,7 @@
         }
     }
 
-    /** A watch that was asked in a silence may never be answered. */
+    /** Restarts a watch that was sent during the outage and may never be answered. */
     private void replaceWatch(long askedRun) {
         loop.schedule(Duration.ofMillis(random.nextLong(REWATCH_SPREAD_MILLIS)), () -> {
             if (run == askedRun) {
@@ -338,14 +345,14 @@
         });
     }
 
-    /** A call that was asked before one that was answered says nothing of the present. */
+    /** Ignores the failure of a request that was sent before an answered one. */
     private void notAnswered(long asked, String reason) {
         if (age.answeredBefore(asked)) {
             tell(false, reason);
         }
     }
 
-    /** Logs that this node itself is answered again, or not any more. */
+    /** Records whether the platform answers this node, and logs each transition. */
     private void tell(boolean now, String reason) {
         if (now != answered) {
             answered = now;
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectKind.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectKind.java
@@ -1,15 +1,15 @@
 package org.parsleydrift.registry;
 
-/** Kinds of shared objects that nodes follow. */
+/** Kinds of shared objects. */
 public enum ObjectKind {
-    /** Routes and services; one object. */
+    /** Routes and services; a single object. */
     MANIFEST,
     /** Runners, by id. */
     RUNNERS,
-    /** Entry nodes, by name; written by the nodes themselves. */
+    /** Entry nodes, by name; each node writes its own entry. */
     NODES,
-    /** The set of store VMs; one object; changed by conditional update. */
+    /** Members of the store; a single object, changed by conditional updates. */
     STORE_SET,
-    /** Requests of the operators to empty a store VM, by the VM's name. */
+    /** Operators' requests to retire a store VM, by the VM's name. */
     RETIREMENTS
 }
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Registry.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Registry.java
@@ -13,14 +13,13 @@
 import org.parsleydrift.kernel.LogLine;
 import org.parsleydrift.kernel.StepException;
 
-/** What this node believes of the manifest and of the runners. Confined to one loop. */
+/** This node's view of the manifest and the runners. Confined to one event loop. */
 public final class Registry {
     private static final Logger LOG = System.getLogger(Registry.class.getName());
     /**
-     * Entries of runners lapse while the platform is silent and are back about two seconds after its return, if the
-     * runner lives. A node that dropped them at once would refuse requests that the runners could serve. The time counts
-     * from the return. Counted from when a node learns of the removal, a runner that leaves a while after the return
-     * would get requests for longer than the two seconds after which it must be left alone.
+     * How long runners whose entries were removed around an outage are still used, counted from the end of the outage.
+     * Entries expire while the platform is down, and live runners write them again within two seconds of its return. A
+     * runner that leaves later must not receive requests for longer than two seconds.
      */
     private static final Duration LAPSE_GRACE = Duration.ofMillis(1900);
 
@@ -37,10 +36,10 @@
     private boolean manifestCurrent = true;
 
     /**
-     * Makes an empty registry.
+     * Creates an empty registry.
      *
-     * @param loop its loop
-     * @param decoder reads contents
+     * @param loop event loop that the registry is confined to
+     * @param decoder decodes the contents of shared objects
      */
     public Registry(EventLoop loop, ObjectDecoder decoder) {
         this.loop = loop;
@@ -48,28 +47,28 @@
     }
 
     /**
-     * Says what to run when runners or the manifest changed.
+     * Sets the task to run after runners or the manifest have changed.
      *
-     * @param task what to run
+     * @param task task to run on the event loop; replaces the previous one
      */
     public void onChange(Runnable task) {
         onChange = task;
     }
 
     /**
-     * The newest known manifest.
+     * Returns the latest readable manifest.
      *
-     * @return the manifest, if one is known
+     * @return the manifest; empty if none has been received
      */
     public Optional<RoutingManifest> manifest() {
         return Optional.ofNullable(manifest);
     }
 
     /**
-     * Runners of a service that may get new requests.
+     * Returns the runners of a service that can receive new requests.
      *
-     * @param service the service
-     * @return the runners
+     * @param service name of the service
+     * @return all known runners of the service that are not draining
      */
     public List<Runner> runners(String service) {
         return Stream.concat(runners.values().stream(), lapsed.values().stream())
@@ -78,9 +77,10 @@
     }
 
     /**
-     * Lives of all runners that are known, those that are leaving or have lapsed included.
+     * Returns the incarnations of all known runners, including those that are draining and those whose entries have
+     * expired.
      *
-     * @return the lives
+     * @return ids of the incarnations
      */
     public Set<String> lives() {
         return Stream.concat(runners.values().stream(), lapsed.values().stream())
@@ -89,10 +89,10 @@
     }
 
     /**
-     * Whether a runner may still get new requests.
+     * Whether a runner can receive new requests.
      *
-     * @param runner one of its lives
-     * @return whether this life is known and not leaving
+     * @param runner a runner
+     * @return true if exactly this incarnation is known and not draining
      */
     public boolean usable(Runner runner) {
         Runner known = runners.getOrDefault(runner.id(), lapsed.get(runner.id()));
@@ -100,9 +100,9 @@
     }
 
     /**
-     * Notes whether the platform answers.
+     * Records the beginning or the end of an outage of the platform.
      *
-     * @param reached whether it answers any node that this node hears of
+     * @param reached whether the platform answers this node or any of its peers
      */
     public void platformReached(boolean reached) {
         if (reached == platformReached) {
@@ -119,25 +119,26 @@
     }
 
     /**
-     * Notes whether the manifest was the newest at some moment of the last {@link KnowledgeAge#SILENCE}.
+     * Records whether the manifest is current.
      *
-     * @param current whether it was; false while the platform is silent
+     * @param current whether it was the latest at some time within the last {@link KnowledgeAge#SILENCE}; false during
+     *     an outage
      */
     public void manifestCurrent(boolean current) {
         manifestCurrent = current;
     }
 
     /**
-     * Whether the manifest was the newest at some moment of the last {@link KnowledgeAge#SILENCE}.
+     * Whether the manifest is current.
      *
-     * @return whether it was
+     * @return whether it was the latest at some time within the last {@link KnowledgeAge#SILENCE}
      */
     public boolean manifestCurrent() {
         return manifestCurrent;
     }
 
     /**
-     * Takes in news of runners.
+     * Applies changes to the entries of runners.
      *
      * @param news changed entries
      */
@@ -147,7 +148,7 @@
     }
 
     /**
-     * Takes in news of the manifest.
+     * Applies changes to the manifest. An unreadable manifest leaves the previous one in force.
      *
      * @param news changed objects
      */
@@ -163,7 +164,7 @@
                                 .with("revision", each.revision())
                                 .toString());
             } catch (StepException fault) {
-                // The previous manifest stays in force; the operator's version can't be read here.
+                // The previous manifest stays in force.
                 LOG.log(
                         Logger.Level.ERROR,
                         LogLine.of("manifest_unreadable")
@@ -202,8 +203,8 @@
     }
 
     /**
-     * An entry that can't be read names no runner, whatever stood there before: who wrote it is unknown, and requests
-     * sent to the runner of its former content might reach another process.
+     * Removes a runner whose entry is unreadable. Its writer is unknown, and the former address may belong to another
+     * process.
      */
     private void unreadable(SharedObject change, StepException fault) {
         boolean known = runners.remove(change.name()) != null;
@@ -230,7 +231,7 @@
 
     private void dropLapsed(long afterSilence) {
         if (afterSilence != silences) {
-            // Another silence began meanwhile; its end has a timer of its own.
+            // Another outage has begun since; its end schedules its own task.
             return;
         }
         returning = false;
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/RetirementProgress.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/RetirementProgress.java
@@ -1,9 +1,9 @@
 package org.parsleydrift.registry;
 
-/** How far the emptying of a store VM is. */
+/** Progress of the retirement of a store VM. */
 public enum RetirementProgress {
     /** Records are being copied. */
     RUNNING,
-    /** Nothing on the VM is needed any more. */
+    /** All records have been copied; the VM can be removed. */
     COMPLETE
 }
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Route.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Route.java
@@ -4,21 +4,21 @@
 import java.util.List;
 
 /**
- * A route of the manifest.
+ * Route of the manifest.
  *
- * @param name its name
- * @param host the host that callers name
- * @param pathPrefix the start of the paths it serves; begins and ends with a slash
- * @param kind what may be repeated
- * @param timeout the longest time that a request may be kept waiting
- * @param targetLatency the time within which an answer is of full worth
- * @param maxAttempts runners that one request may run on
- * @param priority its rank; 0 is the highest
- * @param resumable whether a stream may go on at another runner
- * @param keepsConversation whether the system keeps what was said
- * @param retention how long a turn is kept
- * @param open whether callers need no key, where the manifest names teams
- * @param destinations the services that serve it, with weights
+ * @param name name of the route
+ * @param host host name that callers send
+ * @param pathPrefix prefix of the paths served; begins and ends with a slash
+ * @param kind retry and response semantics
+ * @param timeout maximum time that a request may take
+ * @param targetLatency target response time; zero for none
+ * @param maxAttempts maximum number of runners that one request is sent to
+ * @param priority priority of the requests; 0 is the highest
+ * @param resumable whether an interrupted stream can continue on another runner
+ * @param keepsConversation whether the turns of conversations are stored
+ * @param retention how long a turn is stored
+ * @param open whether callers need no API key, if the manifest names teams
+ * @param destinations weighted services that serve the route
  */
 public record Route(
         String name,
@@ -34,13 +34,13 @@
         Duration retention,
         boolean open,
         List<Destination> destinations) {
-    /** Copies the destinations. */
+    /** Copies the list. */
     public Route {
         destinations = List.copyOf(destinations);
     }
 
     /**
-     * Whether a request may be sent again though a runner may have begun it.
+     * Whether requests can be sent again after a runner may have started them.
      *
      * @return true for idempotent routes
      */
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Whether answers are streams of events.
+     * Whether responses are event streams.
      *
      * @return true for streaming routes
      */
@@ -58,19 +58,19 @@
     }
 
     /**
-     * Whether a request may go to another runner though one may have begun it.
+     * Whether a request can be retried on another runner after a first one may have started it.
      *
-     * @return true for idempotent routes and streams that may be resumed
+     * @return true for idempotent routes and resumable streams
      */
     public boolean mayRunTwice() {
         return repeatable() || (streaming() && resumable);
     }
 
     /**
-     * Chooses a destination.
+     * Selects a destination at random by weight.
      *
-     * @param draw a number from 0 to 1, not 1
-     * @return the service
+     * @param draw random number, at least 0 and below 1
+     * @return name of the service
      */
     public String destination(double draw) {
         int total = destinations.stream().mapToInt(Destination::weight).sum();
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/RoutingManifest.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/RoutingManifest.java
@@ -8,7 +8,10 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** Routes and services in force. Immutable. A match costs one look-up per slash of the path, however many routes. */
+/**
+ * Immutable set of routes, services, limits and teams. Matching a path takes one lookup per slash, independent of the
+ * number of routes.
+ */
 public final class RoutingManifest {
     private final long version;
     private final Map<String, Map<String, Route>> routesByHost;
@@ -17,11 +20,11 @@
     private final Optional<TeamKeys> teams;
 
     /**
-     * Makes a manifest that names no teams.
+     * Creates a manifest without teams: callers need no API keys.
      *
-     * @param version its version
-     * @param routes its routes
-     * @param services its services
+     * @param version version of the manifest
+     * @param routes all routes
+     * @param services all services
      * @param limits limits for callers
      */
     public RoutingManifest(long version, List<Route> routes, List<UpstreamService> services, CallerLimits limits) {
@@ -29,13 +32,13 @@
     }
 
     /**
-     * Makes a manifest.
+     * Creates a manifest.
      *
-     * @param version its version
-     * @param routes its routes
-     * @param services its services
+     * @param version version of the manifest
+     * @param routes all routes
+     * @param services all services
      * @param limits limits for callers
-     * @param teams whose each key is; empty if callers need none
+     * @param teams teams and their API keys; empty if callers need no keys
      */
     public RoutingManifest(
             long version,
@@ -55,38 +58,38 @@
     }
 
     /**
-     * The version.
+     * Returns the version of the manifest.
      *
-     * @return the version
+     * @return version number stated in the manifest
      */
     public long version() {
         return version;
     }
 
     /**
-     * Limits for callers.
+     * Returns the limits for callers.
      *
-     * @return the limits
+     * @return size limits and timeouts
      */
     public CallerLimits limits() {
         return limits;
     }
 
     /**
-     * Whose each key is.
+     * Returns the teams by API key.
      *
-     * @return the teams' keys; empty if callers need none
+     * @return teams and their API keys; empty if callers need no keys
      */
     public Optional<TeamKeys> teams() {
         return teams;
     }
 
     /**
-     * Finds the route with the longest prefix.
+     * Finds the route with the longest matching prefix.
      *
-     * @param host the host, with or without a port
-     * @param target path and query
-     * @return the route, if one matches
+     * @param host host name, with or without a port, in any case
+     * @param target path, with or without a query
+     * @return the route; empty if none matches
      */
     public Optional<Route> match(String host, String target) {
         int colon = host.indexOf(':');
@@ -107,10 +110,10 @@
     }
 
     /**
-     * A service.
+     * Returns a service.
      *
-     * @param name its name
-     * @return the service, if the manifest has it
+     * @param name name of the service
+     * @return the service; empty if the manifest does not contain it
      */
     public Optional<UpstreamService> service(String name) {
         return Optional.ofNullable(services.get(name));
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Runner.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Runner.java
@@ -1,19 +1,18 @@
 package org.parsleydrift.registry;
 
 /**
- * One life of an upstream process. A process may start again under its former id and address; it then holds nothing of
- * what it held before. All that is believed of a runner is therefore kept by {@link #life}, never by the id alone: with the
- * id, load and warm prompts of the former life would be put down to the new one, and requests would be kept from an idle
- * runner or sent to a cold one. An address may be given to another service.
+ * One incarnation of an upstream process. A restarted process has the id and address of its predecessor but none of its
+ * state, and an address may be reassigned to another service. Load, health and cached prompts are therefore tracked by
+ * {@link #life}, not by id.
  *
- * @param id the id under which the process can be addressed
- * @param bornMillis Unix time of the start of this life, ms; 0 if it is not said
- * @param life the id of this life, unique over restarts
- * @param service the service it serves
+ * @param id id under which the process can be addressed; kept over restarts
+ * @param bornMillis Unix time at which this incarnation started, ms; 0 if unknown
+ * @param life id of this incarnation, unique over restarts
+ * @param service name of the service that it serves
  * @param address IP and port
  * @param zone its availability zone
- * @param slots requests that it works on at once
- * @param draining whether it is leaving and gets nothing new
+ * @param slots number of requests that it processes concurrently
+ * @param draining whether it is shutting down and must not receive new requests
  */
 public record Runner(
         String id,
@@ -25,15 +24,15 @@
         int slots,
         boolean draining) {
     /**
-     * Makes a runner, and names its life by id and start.
+     * Creates a runner; the id of its incarnation is derived from its id and start time.
      *
-     * @param id the id under which the process can be addressed
-     * @param bornMillis Unix time of the start of this life, ms; 0 if it is not said
-     * @param service the service it serves
+     * @param id id under which the process can be addressed; kept over restarts
+     * @param bornMillis Unix time at which this incarnation started, ms; 0 if unknown
+     * @param service name of the service that it serves
      * @param address IP and port
      * @param zone its availability zone
-     * @param slots requests that it works on at once
-     * @param draining whether it is leaving and gets nothing new
+     * @param slots number of requests that it processes concurrently
+     * @param draining whether it is shutting down and must not receive new requests
      */
     public Runner(
             String id, long bornMillis, String service, String address, String zone, int slots, boolean draining) {
@@ -41,14 +40,14 @@
     }
 
     /**
-     * Makes a runner whose start is not known.
+     * Creates a runner with an unknown start time.
      *
-     * @param id the id under which the process can be addressed
-     * @param service the service it serves
+     * @param id id under which the process can be addressed; kept over restarts
+     * @param service name of the service that it serves
      * @param address IP and port
      * @param zone its availability zone
-     * @param slots requests that it works on at once
-     * @param draining whether it is leaving and gets nothing new
+     * @param slots number of requests that it processes concurrently
+     * @param draining whether it is shutting down and must not receive new requests
      */
     public Runner(String id, String service, String address, String zone, int slots, boolean draining) {
         this(id, 0, service, address, zone, slots, draining);
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/SharedObject.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/SharedObject.java
@@ -1,11 +1,11 @@
 package org.parsleydrift.registry;
 
 /**
- * A shared object as it stands at a revision.
+ * State of a shared object at a revision.
  *
- * @param name its name within its kind
- * @param revision the revision of its last change; revisions of all objects share one counter
- * @param deleted whether it was removed
- * @param content what its writer put in, encoded as on the platform; empty if removed
+ * @param name name, unique within its kind
+ * @param revision revision of its last change; all objects share one counter
+ * @param deleted whether it has been removed
+ * @param content content in the platform's encoding; empty if removed
  */
 public record SharedObject(String name, long revision, boolean deleted, byte[] content) {}
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/SharedObjects.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/SharedObjects.java
@@ -5,63 +5,64 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Shared objects with revisions, conditional updates and watches. Futures fail with
- * {@link org.parsleydrift.kernel.platform.StoreException}; {@code ABSENT} on a watch says that its history is gone.
+ * Client of the platform's object store, with revisions, conditional updates and watches. Futures fail with {@link
+ * org.parsleydrift.kernel.platform.StoreException}; a watch fails with {@code ABSENT} if the history after its revision
+ * is no longer available.
  */
 public interface SharedObjects {
     /**
      * Lists all objects of a kind.
      *
-     * @param kind the kind
-     * @return the objects and the revision they were read at
+     * @param kind kind of objects
+     * @return the objects and the revision that they were read at
      */
     CompletableFuture<ObjectChanges> list(ObjectKind kind);
 
     /**
-     * Waits for changes.
+     * Waits for changes of a kind.
      *
-     * @param kind the kind
-     * @param after the revision after which changes are wanted
-     * @param wait the longest time to wait
-     * @return changes in order, perhaps none
+     * @param kind kind of objects
+     * @param after revision after which changes are returned
+     * @param wait maximum time to wait
+     * @return changes in order; empty after the wait
      */
     CompletableFuture<ObjectChanges> watch(ObjectKind kind, long after, Duration wait);
 
     /**
-     * Reads changes without waiting for any, over a connection of its own: one that was kept may have gone silent.
+     * Reads changes without waiting, over a new connection, since an existing one may be dead.
      *
-     * @param kind the kind
-     * @param after the revision after which changes are wanted
-     * @return changes in order, perhaps none; complete as of the moment at which this is asked
+     * @param kind kind of objects
+     * @param after revision after which changes are returned
+     * @return changes in order, possibly none; complete as of the time of this call
      */
     CompletableFuture<ObjectChanges> changes(ObjectKind kind, long after);
 
     /**
      * Creates or replaces an object.
      *
-     * @param kind the kind
-     * @param name the name
-     * @param revision the revision to replace, or empty to create
-     * @param content the content, JSON
-     * @return the object as written; fails with {@code CONFLICT} if the condition does not hold
+     * @param kind kind of the object
+     * @param name name of the object
+     * @param revision expected revision of the object; empty to create it
+     * @param content content, JSON
+     * @return the object as written; fails with {@code CONFLICT} if the current revision differs
      */
     CompletableFuture<SharedObject> put(ObjectKind kind, String name, OptionalLong revision, byte[] content);
 
     /**
      * Removes an object.
      *
-     * @param kind the kind
-     * @param name the name
-     * @return done, also if there was none
+     * @param kind kind of the object
+     * @param name name of the object
+     * @return completes when the object is absent, also if it never existed
      */
     CompletableFuture<Void> remove(ObjectKind kind, String name);
 
     /**
-     * Reports how far a retirement is.
+     * Reports the progress of a retirement.
      *
-     * @param vm the VM that is emptied
-     * @param progress the progress
-     * @return done
+     * @param vm name of the VM that is being retired
+     * @param progress progress to report
+     * @return completes when the report is stored
      */
     CompletableFuture<Void> reportRetirement(String vm, RetirementProgress progress);
 }
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Team.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Team.java
@@ -3,10 +3,10 @@
 import java.util.OptionalInt;
 
 /**
- * A team of the manifest.
+ * Team of the manifest.
  *
- * @param name its name, which runners are told
- * @param priority the rank of its requests, which goes before that of their routes; 0 is the highest
- * @param allotment how many of its requests may run
+ * @param name name of the team, forwarded to runners
+ * @param priority priority of its requests, overriding that of their routes; 0 is the highest; empty to use the route's
+ * @param allotment limit on the requests of the team
  */
 public record Team(String name, OptionalInt priority, Allotment allotment) {}
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/TeamKeys.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/TeamKeys.java
@@ -9,25 +9,25 @@
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 
-/** Whose each key of a manifest is. Immutable. Faults are told by the team's name: keys stay out of logs. */
+/** Immutable index of teams by API key. Errors name the team and never the key, so that keys stay out of logs. */
 public final class TeamKeys {
-    /** Longest key that is looked up, characters: longer ones are nobody's, and cost no hashing. */
+    /** Maximum length of a key, characters; longer keys are rejected without hashing them. */
     private static final int LONGEST_KEY = 1024;
 
     private final Map<String, Team> byKey;
 
     /**
-     * A team and its keys.
+     * Team and its API keys.
      *
      * @param team the team
-     * @param keys its keys; none if all were taken away
+     * @param keys its keys; empty if all have been revoked
      */
     public record Holder(Team team, List<String> keys) {
         /**
-         * Copies the keys.
+         * Copies the list.
          *
          * @param team the team
-         * @param keys its keys
+         * @param keys its keys; empty if all have been revoked
          */
         public Holder {
             keys = List.copyOf(keys);
@@ -35,10 +35,10 @@
     }
 
     /**
-     * Makes the index.
+     * Builds the index.
      *
-     * @param holders all teams
-     * @throws StepException if a name or a key is empty or stands twice
+     * @param holders all teams with their keys
+     * @throws StepException if a name or key is blank or occurs twice
      */
     public TeamKeys(List<Holder> holders) {
         Set<String> names = new HashSet<>();
@@ -57,10 +57,10 @@
     }
 
     /**
-     * Whose a key is.
+     * Looks up the team that holds a key.
      *
-     * @param key the key
-     * @return the team, if any holds it
+     * @param key API key
+     * @return the team; empty if no team holds the key
      */
     public Optional<Team> team(String key) {
         return key.length() > LONGEST_KEY ? Optional.empty() : Optional.ofNullable(byKey.get(key));
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/VersionedTable.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/VersionedTable.java
@@ -8,8 +8,8 @@
 import java.util.stream.Stream;
 
 /**
- * The newest known state of all objects of one kind. Changes may come on several ways (the platform, or other nodes)
- * and in any order: an object never goes back to an older revision.
+ * Latest known state of all objects of one kind. Changes may arrive by several paths and in any order; an object never
+ * reverts to an older revision.
  */
 public final class VersionedTable {
     private final Map<String, SharedObject> objects = new HashMap<>();
@@ -17,47 +17,47 @@
     private long newestChange;
 
     /**
-     * The revision up to which the table is complete.
+     * Returns the revision up to which the table is complete.
      *
-     * @return the revision; 0 before the first list
+     * @return revision; 0 before the first list
      */
     public long asOf() {
         return asOf;
     }
 
     /**
-     * The revision of the newest change that is known. Of two nodes the one with the higher value knows more;
-     * {@link #asOf} can't tell that, since it grows with changes of other kinds too.
+     * Returns the revision of the latest known change of this kind. Nodes compare this value to find out which of them
+     * is ahead; {@link #asOf} is not suitable, since it also advances with changes of other kinds.
      *
-     * @return the revision; 0 before the first list
+     * @return revision; 0 before the first list
      */
     public long newestChange() {
         return newestChange;
     }
 
     /**
-     * Notes that a peer's list, which was taken in, holds all changes up to its newest.
+     * Records that all changes up to a revision have been applied, as stated by the peer that sent them.
      *
-     * @param revision the revision of the peer's newest change
+     * @param revision revision of the peer's latest change
      */
     public void knows(long revision) {
         newestChange = Math.max(newestChange, revision);
     }
 
     /**
-     * Objects that are present.
+     * Returns the objects that are not deleted.
      *
-     * @return the objects
+     * @return objects, in no particular order
      */
     public List<SharedObject> present() {
         return objects.values().stream().filter(each -> !each.deleted()).toList();
     }
 
     /**
-     * Takes in changes.
+     * Applies changes; those that are older than the known state are ignored.
      *
      * @param changes changes in any order
-     * @return those that were news
+     * @return the changes that were applied
      */
     public List<SharedObject> apply(ObjectChanges changes) {
         List<SharedObject> news =
@@ -68,10 +68,11 @@
     }
 
     /**
-     * Takes in a full list. Known objects that it lacks were removed, unless they are newer than the list.
+     * Replaces the contents with a complete list. Known objects that the list lacks are deleted, unless they are newer
+     * than it.
      *
-     * @param list the list
-     * @return changes that were news, removals included
+     * @param list the complete list
+     * @return the changes that were applied, deletions included
      */
     public List<SharedObject> replace(ObjectChanges list) {
         Set<String> listed = list.objects().stream().map(SharedObject::name).collect(Collectors.toSet());
--- a/parsleydrift-registry/src/test/java/org/parsleydrift/registry/KnowledgeAgeTest.java
+++ b/parsleydrift-registry/src/test/java/org/parsleydrift/registry/KnowledgeAgeTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Up to when knowledge is complete, and when the platform counts as silent. */
+/** Staleness of the local copy, and detection of outages. */
 public class KnowledgeAgeTest {
     private ManualScheduler time;
     private KnowledgeAge age;
@@ -34,7 +34,7 @@
         assertEquals(age.answeredAge(), Optional.of(Duration.ofMillis(1300)));
     }
 
-    /** A late answer of an earlier call makes nothing older. */
+    /** A late answer to an earlier request must not increase the staleness. */
     @Test
     public void anEarlierCallChangesNothing() {
         time.advance(Duration.ofSeconds(10));
@@ -67,7 +67,7 @@
         assertFalse(age.completeAt(time.nanos()));
     }
 
-    /** A node that waits for its first answer has nothing that could be old. */
+    /** A node without a first answer has no copy that could be stale. */
     @Test
     public void beforeTheFirstAnswerThereIsNoSilence() {
         time.advance(Duration.ofSeconds(10));
--- a/parsleydrift-registry/src/test/java/org/parsleydrift/registry/RunnerLivesTest.java
+++ b/parsleydrift-registry/src/test/java/org/parsleydrift/registry/RunnerLivesTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Which life of a runner the registry names. Contents here are "BORN ADDRESS", or nonsense. */
+/** Which incarnation of a runner the registry exposes. Test entries hold "START ADDRESS", or are invalid. */
 public class RunnerLivesTest {
     private Registry registry;
     private long revision;
@@ -47,7 +47,7 @@
         return registry.runners("s").stream().map(Runner::life).sorted().toList();
     }
 
-    /** A restart under the same id is another runner: what is to be sent to the former life must not go to it. */
+    /** Guards against sending requests for the former incarnation to the restarted process. */
     @Test
     public void aRestartUnderTheSameIdIsAnotherLife() {
         entry("r", "100 10.0.0.1:1");
@@ -58,10 +58,7 @@
         assertTrue(registry.usable(registry.runners("s").getFirst()));
     }
 
-    /**
-     * Symptom: a restarted runner gets no requests, or they go to its former address. Events: the runner restarts under its
-     * id; then an entry that its former life had sent arrives. Cause: entries were taken in by revision alone.
-     */
+    /** Guards against a late entry of the former incarnation overriding the current one. */
     @Test
     public void newsOfAFormerLifeNeverOverrideTheNewOne() {
         entry("r", "200 10.0.0.2:1");
@@ -72,10 +69,7 @@
         assertEquals(lives(), List.of());
     }
 
-    /**
-     * Symptom: requests go on to a runner whose entry another program has overwritten. Cause: an entry that could not be
-     * read was logged and the former one kept.
-     */
+    /** Guards against sending requests to a runner whose entry has been overwritten with invalid content. */
     @Test
     public void anEntryThatTurnsUnreadableNamesNoRunner() {
         entry("r", "100 10.0.0.1:1");
--- a/parsleydrift-registry/src/test/java/org/parsleydrift/registry/VersionedTableTest.java
+++ b/parsleydrift-registry/src/test/java/org/parsleydrift/registry/VersionedTableTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Objects learned on several ways never go back. */
+/** Changes that arrive by several paths never revert an object. */
 public class VersionedTableTest {
     private final VersionedTable table = new VersionedTable();
 
@@ -17,7 +17,7 @@
         return new SharedObject(name, revision, true, new byte[0]);
     }
 
-    /** Symptom: a leaving runner gets requests again. Cause: an older entry, passed on by a slow peer, wins. */
+    /** Guards against an older entry, forwarded by a slow peer, making a draining runner available again. */
     @Test
     public void olderNewsChangesNothing() {
         VersionedTable fresh = new VersionedTable();
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/Address.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/Address.java
@@ -3,18 +3,18 @@
 import java.net.InetSocketAddress;
 
 /**
- * IP and port.
+ * Network address.
  *
- * @param host the IP
- * @param port the port
+ * @param host IP
+ * @param port port, 0 to 65535; 0 lets the system choose one
  */
 public record Address(String host, int port) {
     /**
-     * Reads "IP:PORT".
+     * Parses an address.
      *
-     * @param text the text
+     * @param text text of the form IP:PORT
      * @return the address
-     * @throws IllegalArgumentException if it is none
+     * @throws IllegalArgumentException if the text has another form or the port is out of range
      */
     public static Address parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -29,7 +29,7 @@
     }
 
     /**
-     * For sockets.
+     * Returns the address for use with sockets.
      *
      * @return the socket address
      */
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/CallerSpread.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/CallerSpread.java
@@ -7,25 +7,27 @@
 import java.util.stream.Collectors;
 
 /**
- * Over how many ready nodes callers are spread. Load pattern: a large fleet in which each node sees a few requests a second,
- * never gets warm, finds no kept connection to a runner, and decides by what it hears of all others. So callers are told of
- * as many nodes as the load needs, and the others stand by. A small fleet is told whole.
+ * Selects the ready nodes that are advertised to callers. In a large fleet the load is concentrated on as many nodes as
+ * it needs, so that nodes reuse their connections to runners and depend less on the load reports of peers; the other
+ * nodes are standbys. In a small fleet all ready nodes are advertised.
  *
- * <p>The load is what all nodes have at runners, which grows when nodes become slow as well as when more is asked. More nodes
- * are named at once, fewer only after the load was less for a while: callers leave nodes that are named no more.
+ * <p>The load is the number of requests that all nodes have at runners. More nodes are advertised as soon as it rises,
+ * fewer only after it has been lower for a while, since callers leave nodes that are no longer advertised.
  */
 final class CallerSpread {
-    /** Requests at runners for each named node: some 50 a second, of which a small VM serves twice as many. */
     static final int REQUESTS_PER_NODE = 8;
-    /** One part in so many of the ready nodes is named at least: as many as callers need that all come back at once. */
+    /**
+     * At least the ready nodes divided by this number are advertised, which is enough when all callers reconnect at
+     * once.
+     */
     static final int LEAST_SHARE = 3;
-    /** A load counts for this long. */
+    /** How long the peak load is retained. */
     static final Duration HELD = Duration.ofSeconds(5);
 
     private int held;
     private long heldNanos;
 
-    /** Notes the requests that all nodes have at runners. */
+    /** Records the number of requests that all nodes have at runners, at a time in ns. */
     void load(int requests, long now) {
         if (requests >= held || now - heldNanos > HELD.toNanos()) {
             held = requests;
@@ -34,10 +36,11 @@
     }
 
     /**
-     * The nodes to name.
+     * Selects the nodes to advertise.
      *
      * @param ready all nodes that are ready
-     * @return as many of each availability zone; the last ones by name, since the first ones act as hubs and watch
+     * @return the same number of nodes of each availability zone, as far as it has them; the last ones by name, because
+     *     the first ones serve as hubs and watch the platform
      */
     List<NodeIdentity> named(List<NodeIdentity> ready) {
         if (ready.size() <= MeshPlan.DIRECT_PEERS) {
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
@@ -30,20 +30,28 @@
 import org.parsleydrift.relay.Relay;
 import org.parsleydrift.wire.HttpExchange;
 
-/** The entry role: serves callers, tells them which addresses to use, follows the platform and its peers. */
+/**
+ * Entry role: serves callers, answers which addresses callers can use, and synchronizes with the platform and with
+ * peers.
+ */
 final class EntryRole implements Role {
     private static final Logger LOG = System.getLogger(EntryRole.class.getName());
-    /** Longest wait of a watch of runners and manifest; one that went silent is noticed sooner, by a check. */
+    /**
+     * Maximum duration of a watch for runners, the manifest and the store set. A dead watch is detected sooner, by a
+     * check.
+     */
     static final Duration WATCH_WAIT = Duration.ofSeconds(24);
-    /** Longest wait of a watch for what changes rarely. */
     private static final Duration RARE_WATCH_WAIT = Duration.ofSeconds(25);
-    /** How long callers keep the list of addresses, s; short, so that they leave a stopping node soon. */
+    /** Cache time of the directory response, s. Short, so that callers soon leave a node that is shutting down. */
     private static final int KEEP_SECONDS = 1;
-    /** Connections for readiness and directory each. */
+    /** Maximum number of connections to the readiness endpoint and to the directory endpoint. */
     private static final int SMALL_SERVER_CONNECTIONS = 512;
-    /** After SIGTERM callers with an old list still come for about this share of the grace time. */
+    /**
+     * Fraction of the grace time during which connections are still accepted after SIGTERM, for callers with an old
+     * address list.
+     */
     private static final double OPEN_SHARE = 0.6;
-    /** Share of the grace time after which the process ends, whatever is still open. */
+    /** Fraction of the grace time after which the process exits even if requests are open. */
     private static final double END_SHARE = 0.93;
 
     private static final Duration DRAIN_CHECK = Duration.ofMillis(50);
@@ -101,7 +109,8 @@
         storeSets = followed(ObjectKind.STORE_SET, listener(this::storeSetChanged, reached -> {}));
         nodes = parts.follow(
                 ObjectKind.NODES, RARE_WATCH_WAIT, new VersionedTable(), listener(this::nodesChanged, reached -> {}));
-        // Peers name each other; until the mesh has decided who watches for new ones, the list is enough.
+        // Peers introduce each other, so the initial list is enough until the mesh has decided which nodes watch for
+        // new ones.
         nodes.follow(false);
         mesh = new NodeMesh(
                 parts.loop,
@@ -161,7 +170,7 @@
 
     @Override
     public void reload(RoleSettings settings) {
-        // Addresses can't change in a running process; all else is learned from the platform.
+        // Addresses cannot change in a running process; everything else comes from the platform.
         boolean changed = !settings.equals(parts.settings);
         LOG.log(
                 Logger.Level.INFO,
@@ -183,7 +192,7 @@
         return !draining && registry.manifest().isPresent() && !cutOff;
     }
 
-    /** A node that hears none of its peers, or doesn't know yet whether it has any, can't tell what teams have used. */
+    /** Whether the usage of quotas at other nodes is known: this node hears peers, or the platform lists none. */
     private boolean knowsFleetsUse() {
         return mesh.hearsAnyone() || (entrySought && !mesh.hasKnownPeers());
     }
@@ -224,7 +233,7 @@
         forEachReadable(news, each -> mesh.known(NodeIdentity.read(each.content())));
     }
 
-    /** One entry that another writer has spoilt keeps none of the others from being taken in. */
+    /** Passes on entries one by one, so that an unreadable entry does not affect the others. */
     private static void forEachReadable(List<SharedObject> news, Consumer<SharedObject> taker) {
         news.stream().filter(each -> !each.deleted()).forEach(each -> {
             try {
@@ -248,9 +257,8 @@
     }
 
     /**
-     * Names this node to its peers; tried until it is done, since a node that no peer knows gets no callers. A node that
-     * starts again at its address finds its entry as it should be: written anew, it would cost a fleet that starts again a
-     * write a node, and each of its watches an answer.
+     * Publishes this node's entry, with retries, since callers are not sent to a node without an entry. An entry that
+     * is already correct is not written again, to save the write and the watch events that it causes.
      */
     private void writeEntry(Optional<SharedObject> present) {
         if (present.filter(this::namesSelf).isPresent()) {
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/FleetUse.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/FleetUse.java
@@ -9,7 +9,10 @@
 import org.parsleydrift.registry.RunnerKey;
 import org.parsleydrift.relay.Dispatcher;
 
-/** What this node has in use, and where it notes what others have. Confined to the mesh's loop. */
+/**
+ * Usage of runners and quotas by this node, and the usage reported by its peers. Confined to the event loop of the
+ * mesh.
+ */
 final class FleetUse {
     private final Dispatcher dispatcher;
     private final Allotments allotments;
@@ -25,12 +28,12 @@
         return new NodeUse(keyed, allotments.report());
     }
 
-    /** Requests that all nodes have at runners. */
+    /** Number of requests that all nodes have at runners. */
     int requests() {
         return dispatcher.fleetLoad();
     }
 
-    /** Nodes or zones told what they have in use; those that are gone have nothing. */
+    /** Records usage by reporter, which is a node or a zone. {@link NodeUse#NONE} clears a reporter that is gone. */
     void told(Map<String, NodeUse> uses) {
         Map<String, UseReport> reports = new HashMap<>();
         uses.forEach((teller, use) -> reports.put(teller, use.teams()));
@@ -40,7 +43,7 @@
                         Map.Entry::getKey, each -> each.getValue().load())));
     }
 
-    /** What some told is told by others from now on. */
+    /** Drops the usage of reporters whose usage is contained in the reports of others from now on. */
     void movedFrom(Set<String> tellers) {
         allotments.movedFrom(tellers);
         dispatcher.peerLoads(tellers.stream().collect(Collectors.toMap(each -> each, each -> Map.of())));
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/FollowedKind.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/FollowedKind.java
@@ -7,40 +7,40 @@
 import org.parsleydrift.registry.ObjectChanges;
 import org.parsleydrift.registry.SharedObject;
 
-/** A kind of shared objects that a node follows at the platform, and knows of from peers. */
+/** Local copy of one kind of shared objects, updated from the platform and from peers. */
 interface FollowedKind {
-    /** The revision up to which this node's knowledge is complete. */
+    /** Returns the revision up to which the copy is complete; 0 before the first list. */
     long asOf();
 
-    /** The revision of the newest change that it knows. */
+    /** Returns the revision of the latest known change; 0 before the first list. */
     long newestChange();
 
     List<SharedObject> present();
 
-    /** Notices a silence of the platform, and asks it for changes if the knowledge is as old as this. */
+    /** Detects an outage of the platform, and requests changes if the staleness has reached a limit. */
     void lookAtAge(Duration checkAfter);
 
-    /** Time since the moment up to which this node's knowledge is complete. */
+    /** Returns the time since the copy was known to be complete. */
     Duration age();
 
-    /** Whether the platform answers this node. */
+    /** Whether the latest request of this node to the platform was answered. */
     boolean answered();
 
-    /** Time since this node's newest call was asked that the platform has answered; empty before the first. */
+    /** Returns the time since the latest answered request of this node was sent; empty before the first answer. */
     Optional<Duration> answeredAge();
 
-    /** A peer that knows no more was complete up to a moment, and so is this node. */
+    /** Records that the copy is complete as of a time (ns), because a peer whose copy is no newer got an answer. */
     void completeAt(long nanos);
 
-    /** Has this node watch the platform, or leaves that to peers. */
+    /** Enables or disables watching the platform; without a watch, changes come from peers. */
     void follow(boolean watches);
 
-    /** Says who is told of news, whatever way they came. */
+    /** Sets the receiver of changes, from the platform and from peers alike. */
     void onNews(Consumer<List<SharedObject>> taker);
 
-    /** Takes in a peer's full list, complete up to a moment. */
+    /** Applies the complete list of a peer, which is complete as of a time (ns). */
     void learn(ObjectChanges list, long newestChange, long completeNanos);
 
-    /** Takes in a peer's changes since the newest one that this node knows, complete up to a moment. */
+    /** Applies the changes of a peer that follow this node's latest known change; complete as of a time (ns). */
     void learnChanges(ObjectChanges changes, long newestChange, long completeNanos);
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/FollowedObjects.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/FollowedObjects.java
@@ -15,7 +15,10 @@
 import org.parsleydrift.registry.SharedObjects;
 import org.parsleydrift.registry.VersionedTable;
 
-/** One kind of shared objects as an entry node knows it: from the platform, and from peers that know more. */
+/**
+ * Local copy of one kind of shared objects of an entry node, updated by watching the platform and from peers that are
+ * ahead.
+ */
 final class FollowedObjects implements FollowedKind {
     private final ObjectKind kind;
     private final VersionedTable table = new VersionedTable();
@@ -46,7 +49,7 @@
     }
 
     private void tellNews(List<SharedObject> news) {
-        // First: peers must learn of an entry that this node's own listener trips over.
+        // Forwarded first, so that peers receive an entry that this node's own listener fails on.
         newsTaker.accept(news);
         listener.changed(news);
     }
@@ -55,7 +58,7 @@
         follower.start();
     }
 
-    /** Shows how new the knowledge is: whether one node or all were behind can be told from this alone. */
+    /** Registers gauges of the latest known revision and the staleness of the copy. */
     void measure(MeterRegistry meters) {
         Tags tags = Tags.of("kind", kind.name());
         meters.gauge("parsleydrift.known.revision", tags, table, VersionedTable::newestChange);
@@ -108,12 +111,13 @@
 
     @Override
     public void learn(ObjectChanges list, long newestChange, long completeNanos) {
-        // First: what was removed in a silence that ends with this is no runner that left.
+        // Must precede the update: removals during an outage that ends here are treated as expired entries, not as
+        // runners that left.
         follower.completeAt(completeNanos);
         List<SharedObject> news = table.replace(list);
         table.knows(newestChange);
         tellNews(news);
-        // This node's own watch lags behind its peers': it may have gone silent.
+        // The watch of this node is behind its peers and may be dead.
         follower.restart();
     }
 
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/KnowledgeExchange.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/KnowledgeExchange.java
@@ -19,12 +19,12 @@
 import org.parsleydrift.registry.SharedObject;
 
 /**
- * What entry nodes tell each other of the shared objects that they follow: changes as soon as they are known, how new and
- * how old their knowledge is, and, to a node that asks because it knows less, all of it.
+ * Synchronizes shared objects between entry nodes: forwards changes, compares revisions and staleness, and fetches all
+ * objects of a kind from a peer that is ahead.
  */
 final class KnowledgeExchange {
     private static final Logger LOG = System.getLogger(KnowledgeExchange.class.getName());
-    /** How long a peer's newer knowledge is waited for from the platform before the peer is asked. */
+    /** How long to wait for changes from the platform before fetching them from a peer that is ahead. */
     private static final Duration LAG_BORNE = Duration.ofMillis(250);
 
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -46,20 +46,19 @@
         this.ownLink = ownLink;
         this.followed = Map.copyOf(followed);
         followed.forEach((kind, each) -> each.onNews(news -> passOn(kind, news)));
-        // Until it is told otherwise: a fleet that starts would ask as often as it has nodes.
+        // Off until the mesh has decided which nodes watch: otherwise the number of watches at the start of a fleet
+        // grows with its nodes.
         follow(false);
     }
 
-    /** That some peer knows more of a kind: since when, up to which revision, and when one was asked last. */
+    /** A peer is ahead: since when, up to which revision, and when objects were last requested. */
     private record Behind(long sinceNanos, long revision, OptionalLong askedNanos) {}
 
-    /** What this node knows, by kind. */
     Map<ObjectKind, NodeState.Known> known() {
         return followed.entrySet().stream()
                 .collect(Collectors.toMap(Map.Entry::getKey, each -> known(each.getValue())));
     }
 
-    /** The revision of the newest change that this node knows, by kind. */
     Map<ObjectKind, Long> newestChanges() {
         return NodeState.newestChanges(known());
     }
@@ -70,24 +69,24 @@
                 kind.answeredAge().stream().mapToLong(Duration::toMillis).findAny());
     }
 
-    /** Whether the platform answers this node. */
+    /** Whether the platform has answered the latest request of every kind. */
     boolean reachesPlatform() {
         return followed.values().stream().allMatch(FollowedKind::answered);
     }
 
-    /** Has this node watch the platform, or leaves that to peers. */
+    /** Enables or disables watching the platform. */
     void follow(boolean watches) {
         followed.values().forEach(each -> each.follow(watches));
     }
 
-    /** Says whom news are passed on to at once: the nodes of its zone, if this one is their hub. */
+    /** Sets the nodes to which changes are forwarded: the nodes of the zone if this node is their hub. */
     void passOnTo(List<NodeIdentity> nodes) {
         receivers = nodes;
     }
 
     /**
-     * Has each kind checked whose knowledge is as old as this. The set of store VMs is not: those that are asked at an
-     * earlier epoch answer with the newer set.
+     * Checks each kind whose staleness has reached a limit. The store set is exempt: store VMs answer requests that
+     * carry an older epoch with the current set.
      */
     void lookAtAge(Duration checkAfter) {
         followed.entrySet().stream()
@@ -96,12 +95,13 @@
     }
 
     /**
-     * Compares what a peer knows with what this node knows.
+     * Compares the copies of a peer with those of this node, and schedules a fetch if the peer is ahead.
      *
-     * @param peer the peer's link
-     * @param direct whether this node hears the peer itself; one that is known through others may be out of reach
-     * @param told what the peer knows
-     * @param saidNanos when it said so
+     * @param peer link address of the peer
+     * @param direct whether this node receives frames from the peer itself; a peer known only through others may be
+     *     unreachable
+     * @param told revision and staleness of the peer's copies, by kind
+     * @param saidNanos time at which the peer sent them, ns
      */
     void compare(String peer, boolean direct, Map<ObjectKind, NodeState.Known> told, long saidNanos) {
         Duration patience = direct ? LAG_BORNE : LAG_BORNE.multipliedBy(2);
@@ -163,7 +163,7 @@
             return;
         }
         if (own.newestChange() < since) {
-            // Changes are missing between: a frame was lost, or this node has just started.
+            // Changes in between are missing: a frame was lost, or this node has just started.
             peerKnowsMore(peer, Duration.ZERO, told.kind(), told.newestChange());
             return;
         }
@@ -171,7 +171,7 @@
         own.learnChanges(told.changes(), told.newestChange(), completeNanos(told));
     }
 
-    /** Takes in the rest of a frame; gives whether its type is one of these. */
+    /** Handles the rest of a frame; returns false if its type is not handled here. */
     boolean receive(byte type, MessageUnpacker in) throws IOException {
         switch (type) {
             case FETCH -> answerFetch(in.unpackString(), ObjectKind.valueOf(in.unpackString()));
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/LinkFrames.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/LinkFrames.java
@@ -4,7 +4,7 @@
 import org.parsleydrift.conversation.FrameSender;
 import org.parsleydrift.wire.FrameLinks;
 
-/** Frames between the processes of the system, over TCP at the settings' link address. */
+/** Sends and receives frames between the processes of the system over TCP, at the link address of the settings. */
 final class LinkFrames implements FrameSender {
     private final FrameLinks links;
 
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/MeshPeer.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/MeshPeer.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** Another entry node as this one hears of it. Confined to the mesh's loop. */
+/** State of another entry node as seen by this one. Confined to the event loop of the mesh. */
 final class MeshPeer {
     final NodeIdentity identity;
     private Optional<NodeState> state = Optional.empty();
@@ -21,7 +21,7 @@
         return identity.name();
     }
 
-    /** What it said last; empty once it has been silent. */
+    /** Returns the latest state of the peer; empty once it has timed out. */
     Optional<NodeState> state() {
         return state;
     }
@@ -30,7 +30,7 @@
         return saidNanos;
     }
 
-    /** It spoke to this node itself. */
+    /** Records that a frame was received from the peer itself. */
     void spoke(long now) {
         directNanos = OptionalLong.of(now);
     }
@@ -43,7 +43,7 @@
         return state.isPresent() && now - saidNanos < span.toNanos();
     }
 
-    /** Takes a state in if it is newer than what is known; gives whether it says anything else than before. */
+    /** Updates the state if it is newer than the known one; returns whether its content changed. */
     boolean take(NodeState newer, long said) {
         if (state.isPresent() && said - saidNanos <= 0) {
             return false;
@@ -58,7 +58,7 @@
         state = Optional.empty();
     }
 
-    /** Whether the use that it told itself is counted, and not its zone's sum. */
+    /** Whether the usage reported by the peer itself is counted, instead of the sum of its zone. */
     boolean countsByItself() {
         return countsByItself;
     }
@@ -67,7 +67,7 @@
         countsByItself = counts;
     }
 
-    /** Its state as its hub tells it; what it told of its use and knowledge itself is kept beside it. */
+    /** Combines the state relayed by the peer's hub with the usage and revisions that the peer last reported itself. */
     NodeState relayed(ZoneSummary.Member told) {
         return new NodeState(
                 told.name(),
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/MeshPlan.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/MeshPlan.java
@@ -6,22 +6,22 @@
 import java.util.stream.Collectors;
 
 /**
- * Whom an entry node tells what it knows. Load pattern: each node's requests at each runner change some tens of times a
- * second, and every other node needs them. Told by each to each, fifty nodes exchange 2,600 frames a period and spend
- * more on them than on requests; so beyond a few nodes each zone has a hub that gathers its zone's states and spreads
- * them, about twice as many frames as nodes.
+ * Receivers of the status frames of an entry node. In a small fleet each node sends its state to every other node.
+ * Since the number of frames then grows with the square of the nodes, larger fleets have one hub per availability zone,
+ * which aggregates the states of its zone and distributes them.
  *
- * <p>Nobody elects a hub: it is the first of a zone, by name, that a node hears. A node that hears none before itself acts
- * as one, as does a node that another takes for one. So while they disagree some states are told twice and none is lost.
+ * <p>There is no election: the hub of a zone is its first node, by name, that a node receives frames from. A node that
+ * hears no node before itself acts as the hub, and so does a node that another one treats as its hub. While nodes
+ * disagree, some states are sent twice and none is lost.
  *
- * @param own nodes that are told this node's own state
- * @param zone nodes that are told the sums of this node's zone: the first ones of other zones
- * @param all nodes that are told the sums of all zones that are known here: the members of this hub's zone
+ * @param own receivers of this node's own state
+ * @param zone receivers of the summary of this node's zone: the first nodes of the other zones
+ * @param all receivers of the summaries of all known zones: the members of this hub's zone
  */
 record MeshPlan(List<NodeIdentity> own, List<NodeIdentity> zone, List<NodeIdentity> all) {
-    /** Up to so many peers each tells each: at that number it costs as many frames as a hub with its relays. */
+    /** Maximum number of peers for a full mesh; beyond it, hubs need fewer frames. */
     static final int DIRECT_PEERS = 16;
-    /** Nodes of another zone that are told; the second stands in while the first one's end is not noticed. */
+    /** Receivers in each other zone; the second one covers the time until the end of the first is detected. */
     private static final int TOLD_PER_ZONE = 2;
 
     private static final Comparator<Neighbour> RANK =
@@ -35,22 +35,22 @@
     }
 
     /**
-     * A peer as seen when the plan is made.
+     * Peer at the time of planning.
      *
      * @param identity the peer
-     * @param alive whether its state is recent, whoever told it
-     * @param direct whether it has spoken to this node itself lately
+     * @param alive whether its state is recent, whether received directly or through a hub
+     * @param direct whether a frame was recently received from the peer itself
      */
     record Neighbour(NodeIdentity identity, boolean alive, boolean direct) {}
 
     /**
-     * Plans one round.
+     * Determines the receivers of one round.
      *
      * @param self this node
-     * @param peers all others that are known
-     * @param hub whether another node takes this one for its hub
-     * @param probing whether nodes that seem gone are tried too: one of them may have come back and know nobody
-     * @return whom to tell what
+     * @param peers all known peers
+     * @param hub whether another node treats this one as its hub
+     * @param probing whether to include nodes that have timed out, since a restarted node may know no other
+     * @return the receivers
      */
     static MeshPlan of(NodeIdentity self, List<Neighbour> peers, boolean hub, boolean probing) {
         if (peers.size() <= DIRECT_PEERS) {
@@ -73,7 +73,7 @@
                 : new MeshPlan(identities(reports), List.of(), List.of());
     }
 
-    /** The place of the first that was heard itself; the number of nodes if none was. */
+    /** Returns the index of the first node heard directly; the number of nodes if there is none. */
     private static int firstDirect(List<Neighbour> ranked) {
         int place = 0;
         while (place < ranked.size() && !ranked.get(place).direct()) {
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/MeteredObjects.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/MeteredObjects.java
@@ -11,7 +11,7 @@
 import org.parsleydrift.registry.SharedObject;
 import org.parsleydrift.registry.SharedObjects;
 
-/** Counts the calls to the platform by kind, call and answer: each is priced, and counts toward a rate. */
+/** Counts the requests to the platform by kind, operation and result. */
 final class MeteredObjects implements SharedObjects {
     private final SharedObjects objects;
     private final MeterRegistry meters;
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeIdentity.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeIdentity.java
@@ -8,10 +8,10 @@
 import org.parsleydrift.kernel.StepException;
 
 /**
- * An entry node as others know it.
+ * Name and addresses of an entry node, as published to its peers.
  *
- * @param name the VM's name
- * @param zone its availability zone
+ * @param name name of the VM
+ * @param zone availability zone of the VM
  * @param callers address for callers
  * @param link address for other processes of the system
  */
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeMesh.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeMesh.java
@@ -22,50 +22,47 @@
 import org.parsleydrift.registry.ObjectKind;
 
 /**
- * What entry nodes tell each other: whether they are ready, what they have at each runner, and how new their knowledge
- * is. Whom a node tells what is the {@link MeshPlan}'s; in large fleets a {@link ZoneHub} sums up what the nodes of its zone
- * say. A few nodes watch the platform for all, and the others learn of drains and manifests from them, as do nodes that the
- * platform turns away ({@link KnowledgeExchange}).
+ * Exchanges status between entry nodes: readiness, load at each runner, usage of quotas, and revision and staleness of
+ * the shared objects. {@link MeshPlan} determines the receivers; in large fleets a {@link ZoneHub} aggregates the
+ * states of its zone. A few nodes watch the platform for all, and the others get changes from them through
+ * {@link KnowledgeExchange}, as do nodes that the platform rejects.
  */
 final class NodeMesh {
     private static final Logger LOG = System.getLogger(NodeMesh.class.getName());
-    /** Period of status frames while the load changes; a burst doubles the load of a runner in about this time. */
+    /** Period of status frames while the status changes. */
     private static final Duration STATUS_PERIOD = Duration.ofMillis(80);
-    /**
-     * One period in so many where hubs sum states up: by way of two hubs a load is then some 200 ms old at the median, and
-     * a small VM spends half as much on telling and hearing.
-     */
+    /** Status periods per round in fleets with hubs. */
     private static final int RELAYED_PERIODS = 2;
-    /** Status frames while nothing changes, in periods. */
+    /** Status periods between frames while the status does not change. */
     private static final int QUIET_PERIODS = 4;
-    /** Of so many rounds one tells the addresses too, for peers that don't know a node yet, and tries silent nodes. */
+    /** Rounds between frames that include the addresses of the node and that also go to nodes that have timed out. */
     private static final int FULL_EVERY = 8;
-    /** A peer unheard for this long is not named to callers: three quiet status frames. */
+    /** Time without a frame after which a peer is no longer advertised to callers. */
     private static final Duration SILENT = Duration.ofSeconds(1);
-    /** The same where hubs pass states on: the wait for a silent hub's successor comes on top. */
+    /** The same in fleets with hubs, including the time for replacing a failed hub. */
     private static final Duration SILENT_RELAYED = Duration.ofMillis(1600);
-    /** A hub unheard for this long is passed over: it speaks every 160 to 320 ms. */
+    /** Time without a frame after which the next node of the zone is used as hub. */
     private static final Duration HUB_SILENT = Duration.ofMillis(600);
     /**
-     * Knowledge of this age is checked at the platform by the first node. With the period in which it is looked at (80 ms, with hubs 160),
-     * the next status frame (320 ms) and the lag borne (250 ms) all know a change 1.6 s after it, by way of hubs 1.9 s,
-     * though every watch be silent; they have two seconds.
+     * Staleness at which the first node checks for changes. Together with the status period, the next status frame and
+     * the lag allowed before a fetch, this lets all nodes apply a change within
+     * {@link org.parsleydrift.registry.KnowledgeAge#SILENCE} even if every watch is dead.
      */
     private static final Duration CHECK_AGE = Duration.ofMillis(900);
     /**
-     * By so much longer the next one waits: status frames with the age of the knowledge come every 320 ms, or twice that
-     * by way of hubs, so that usually one node checks for all.
+     * Additional staleness for each further node. Exceeds the interval at which staleness is exchanged, so that usually
+     * a single node checks.
      */
     private static final Duration CHECK_STEP = Duration.ofMillis(500);
-    /** Addresses that callers are given at most; they read no more. */
+    /** Maximum number of addresses that callers read. */
     private static final int MOST_ADDRESSES = 64;
 
     /**
-     * Nodes that watch the platform for a whole fleet, at least: of three, two go on while the end of one is not noticed,
-     * and the age of knowledge tells if all have gone silent. Where each node watches, each change costs a call a node.
+     * Minimum number of nodes that watch the platform for the whole fleet; two remain while the failure of one goes
+     * undetected.
      */
     private static final int WATCHING = 3;
-    /** A node that starts is told by then who watches; until then it doesn't, so that a fleet that starts asks less. */
+    /** Time until a started node knows from its peers whether it has to watch; it does not watch before. */
     private static final Duration WATCH_DECIDED = Duration.ofMillis(1200);
 
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -122,7 +119,7 @@
         loop.every(STATUS_PERIOD, this::tellInTurn);
     }
 
-    /** A peer was named by the platform, or spoke. */
+    /** Adds a peer that was listed by the platform or introduced itself. */
     void known(NodeIdentity identity) {
         if (identity.name().equals(self.name())) {
             return;
@@ -130,7 +127,7 @@
         MeshPeer peer = peers.get(identity.name());
         if (peer == null || !peer.identity.equals(identity)) {
             peers.put(identity.name(), new MeshPeer(identity));
-            // What its former life had at the runners is gone with it.
+            // The load of its former incarnation no longer exists.
             fleetUse.told(Map.of(identity.name(), NodeUse.NONE));
             LOG.log(
                     Logger.Level.INFO,
@@ -142,7 +139,7 @@
         }
     }
 
-    /** All nodes that are ready, this one included. */
+    /** Returns all ready nodes, including this one. */
     List<NodeIdentity> readyNodes() {
         Stream<NodeIdentity> others = peers.values().stream()
                 .filter(each -> alive(each) && each.state().orElseThrow().ready())
@@ -151,7 +148,7 @@
         return Stream.concat(own, others).toList();
     }
 
-    /** Addresses for callers: of the ready nodes, as many as the load needs. */
+    /** Returns the addresses to advertise to callers, those of this node's zone first. */
     List<String> readyAddresses() {
         return spread.named(readyNodes()).stream()
                 .sorted(Comparator.comparing((NodeIdentity each) -> !each.zone().equals(self.zone()))
@@ -161,7 +158,10 @@
                 .toList();
     }
 
-    /** A peer, drawn by lot, that reaches the store VMs; first among those that this node hears itself. */
+    /**
+     * Returns the link address of a random peer that reaches the store VMs, preferring peers heard directly; empty if
+     * there is none.
+     */
     Optional<String> peerThatReachesStores() {
         List<MeshPeer> reaching = peers.values().stream()
                 .filter(each -> alive(each) && each.state().orElseThrow().reachesStores())
@@ -182,13 +182,13 @@
         return !peers.isEmpty();
     }
 
-    /** Tells peers at once, outside the period. */
+    /** Sends a status frame immediately, outside the period. */
     void tellNow() {
         quiet = QUIET_PERIODS;
         tell();
     }
 
-    /** Takes in a frame; gives whether it was one of the mesh. */
+    /** Handles a frame; returns false if its type is not one of the mesh. */
     boolean receive(byte[] frame) {
         return MessagePackFrames.decode(frame, in -> {
             byte type = in.unpackByte();
@@ -210,7 +210,7 @@
         }
     }
 
-    /** Whether hubs pass states on, since each to each would be too many frames. */
+    /** Whether the fleet is too large for a full mesh. */
     private boolean relayed() {
         return peers.size() > MeshPlan.DIRECT_PEERS;
     }
@@ -239,10 +239,10 @@
         }
     }
 
-    /** What of a node's state is told at once when it changes. */
+    /** Part of the node's state whose changes are sent without delay. */
     private record Said(NodeUse use, boolean ready, Map<ObjectKind, Long> known) {}
 
-    /** Whether there is nothing new to tell, and the time for telling all the same has not come. */
+    /** Whether this round can be skipped: nothing has changed, and the idle interval has not elapsed. */
     private boolean mayRest(Said now) {
         boolean same = now.equals(lastSaid) && !(actsAsHub && news);
         int mostQuiet = relayed() ? QUIET_PERIODS / RELAYED_PERIODS : QUIET_PERIODS;
@@ -251,14 +251,15 @@
 
     private void passNewsOnTo(MeshPlan plan) {
         boolean watches = decideWatching();
-        // Where each hears each, a change that every node passed on would cost as many frames as there are pairs.
+        // In a full mesh only the watching nodes forward, since the number of frames would otherwise grow with the
+        // square of the nodes.
         List<NodeIdentity> all = watches ? plan.own() : List.of();
         exchange.passOnTo(relayed() ? plan.all() : all);
     }
 
     private void actAsHub(boolean acts) {
         if (acts && !actsAsHub) {
-            // From now on the nodes of the zone tell this one themselves.
+            // From now on the nodes of the zone report to this node directly.
             fleetUse.movedFrom(Set.of(ofZone(self.zone())));
         }
         actsAsHub = acts;
@@ -272,8 +273,8 @@
     }
 
     /**
-     * The first nodes of each zone that the platform answers watch it for all. Of a fleet without hubs each node hears each
-     * other one: there it is the first nodes of all.
+     * Decides whether this node watches the platform. The watching nodes are the first ones, by name, that the platform
+     * answers: of each zone in fleets with hubs, otherwise of the whole fleet.
      */
     private boolean decideWatching() {
         boolean early = loop.clock().nanos() - startNanos < WATCH_DECIDED.toNanos();
@@ -298,8 +299,8 @@
     }
 
     /**
-     * The age of its knowledge at which this node is to check it. Peers that the platform answers check first, since those
-     * that it turns away would leave the knowledge to grow old; among equals the one with the least name.
+     * Returns the staleness at which this node checks for changes. Peers that the platform answers come before those
+     * that it rejects, then the order is by name.
      */
     private Duration checkAfter() {
         long before = peers.values().stream()
@@ -403,7 +404,7 @@
         }
         taken.get().members().ifPresent(members -> members.forEach(each -> takeMember(each, said)));
         former.map(each -> each.leftBefore(taken.get())).orElse(Set.of()).forEach(this::forgetLeft);
-        // A hub may tell what a node of its zone knows before it knows as much itself.
+        // A hub may report revisions of nodes of its zone that are ahead of the hub itself.
         sender.ifPresent(each ->
                 exchange.compare(each.identity.link(), each.name().equals(summary.hub()), summary.known(), said));
         boolean changed =
@@ -426,7 +427,7 @@
         }
     }
 
-    /** Its hub doesn't hear it any more. */
+    /** Clears the state of a node that its hub no longer lists. */
     private void forgetLeft(String name) {
         MeshPeer left = peers.get(name);
         if (left != null && left.state().isPresent() && !direct(left, SILENT)) {
@@ -435,7 +436,7 @@
         }
     }
 
-    /** The hub's sum counts in place of what mates told this node while it was the hub itself. */
+    /** Counts the sum of this node's zone in place of the usage that its nodes reported while this node was the hub. */
     private void takeOwnZone(ZoneSummaries.Heard heard) {
         Set<String> mates = peers.values().stream()
                 .filter(each -> each.countsByItself() && each.identity.zone().equals(self.zone()))
@@ -448,7 +449,7 @@
         fleetUse.told(Map.of(ofZone(self.zone()), toldUse.othersIn(heard, self.name())));
     }
 
-    /** The key under which the use of a zone is counted; no node has such a name. */
+    /** Key for the usage of a zone, distinct from all node names. */
     private static String ofZone(String zone) {
         return "zone " + zone;
     }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeState.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeState.java
@@ -13,16 +13,16 @@
 import org.parsleydrift.registry.ObjectKind;
 
 /**
- * What an entry node says of itself.
+ * State of an entry node as sent to its peers.
  *
- * @param name the node
- * @param identity its addresses; told now and then only, for nodes that don't know it yet
- * @param round grows with each telling; a hub names it to say which load of this node its sum holds
- * @param ready whether it may be named to callers
+ * @param name name of the node
+ * @param identity addresses of the node; included in some frames only, for nodes that do not know it yet
+ * @param round number of the status frame; a hub returns it to identify the load contained in its sum
+ * @param ready whether the node can be advertised to callers
  * @param reachesStores whether it reaches the store VMs directly
  * @param reachesPlatform whether the platform answers it
- * @param known what it knows, by kind
- * @param use what it has in use
+ * @param known revision and staleness of its copies, by kind
+ * @param use its usage of runners and quotas
  */
 record NodeState(
         String name,
@@ -42,14 +42,14 @@
     }
 
     /**
-     * What a node knows of a kind of shared objects.
+     * Revision and staleness of a node's copy of one kind of shared objects.
      *
-     * @param newestChange the revision of the newest change that it knows
-     * @param answeredMillis when the node said this, the time since its newest call was asked that the platform has
-     *     answered, ms; empty before the first
+     * @param newestChange revision of the latest known change
+     * @param answeredMillis time from sending the node's latest answered request to sending this state, ms; empty
+     *     before the first answer
      */
     record Known(long newestChange, OptionalLong answeredMillis) {
-        /** The same as told later. */
+        /** Returns the same with an increased staleness, ms. */
         Known later(long millis) {
             return new Known(
                     newestChange,
@@ -59,8 +59,8 @@
         }
 
         /**
-         * What two nodes know together. The platform's answers are in order, so that one that knows as much as both is
-         * complete up to the newer answer.
+         * Combines the copies of two nodes. Answers of the platform are ordered by revision, so a copy with the higher
+         * revision is complete as of the later of both times.
          */
         static Known newest(Known one, Known other) {
             return new Known(
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Whether another state says the same, but for its round and ages. */
+    /** Whether another state differs in its round and staleness only. */
     boolean saysTheSame(NodeState other) {
         return ready == other.ready
                 && reachesStores == other.reachesStores
@@ -148,7 +148,7 @@
         for (int i = 0; i < kinds; i++) {
             String kind = in.unpackString();
             Known told = Known.read(in);
-            // A node of a later version may follow kinds that this one doesn't know.
+            // Nodes of a later version may send kinds that are unknown here.
             if (KINDS.containsKey(kind)) {
                 known.put(KINDS.get(kind), told);
             }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeUse.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeUse.java
@@ -10,10 +10,10 @@
 import org.parsleydrift.placement.Windowed;
 
 /**
- * What an entry node, or several together, have in use.
+ * Usage of runners and quotas by one entry node, or summed over several.
  *
- * @param load requests at each runner, by the {@link org.parsleydrift.registry.RunnerKey} of the runner's life
- * @param teams use of the teams' allotments
+ * @param load number of requests at each runner, by the {@link org.parsleydrift.registry.RunnerKey} of its incarnation
+ * @param teams usage of the teams' quotas
  */
 record NodeUse(Map<Long, Integer> load, UseReport teams) {
     static final NodeUse NONE = new NodeUse(Map.of(), UseReport.NONE);
@@ -29,7 +29,7 @@
         return new NodeUse(sum, teams.plus(other.teams));
     }
 
-    /** What is left without what one of the nodes told. */
+    /** Subtracts the usage of one of the nodes; nothing becomes negative. */
     NodeUse minus(NodeUse part) {
         Map<Long, Integer> rest = new HashMap<>(load);
         part.load.forEach((runner, requests) -> rest.merge(runner, -requests, Integer::sum));
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/OutsideInterface.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/OutsideInterface.java
@@ -6,58 +6,61 @@
 import org.parsleydrift.relay.RelayDialect;
 import org.parsleydrift.wire.HttpClient;
 
-/** How callers, runners and the platform of one deployment speak; found by the service loader. Decides nothing. */
+/**
+ * Plug-in for the protocols of the callers, runners and platform of one deployment; loaded with the service loader.
+ * Contains no decisions.
+ */
 public interface OutsideInterface {
     /**
-     * The name that settings choose it by.
+     * Returns the name that the settings select this plug-in by.
      *
-     * @return the name
+     * @return unique name
      */
     String name();
 
     /**
-     * Header names.
+     * Returns the header names used with callers and runners.
      *
-     * @return the names
+     * @return the header names
      */
     RelayDialect dialect();
 
     /**
-     * The shared objects.
+     * Creates a client of the platform's object store.
      *
-     * @param client makes HTTP requests
-     * @param address where they are kept
-     * @return the objects
+     * @param client HTTP client to use
+     * @param address address of the object store
+     * @return the client
      */
     SharedObjects objects(HttpClient client, String address);
 
     /**
-     * Reads contents of shared objects.
+     * Returns the decoder for the contents of shared objects.
      *
      * @return the decoder
      */
     ObjectDecoder decoder();
 
     /**
-     * The path at which callers ask which addresses to use.
+     * Returns the HTTP path at which callers request the addresses of entry nodes.
      *
-     * @return the path
+     * @return absolute path
      */
     String directoryPath();
 
     /**
-     * The path at which a node tells whether it is ready.
+     * Returns the HTTP path of the readiness check.
      *
-     * @return the path
+     * @return absolute path
      */
     String readinessPath();
 
     /**
-     * The answer to callers that ask which addresses to use.
+     * Encodes the response to callers that request the addresses of entry nodes.
      *
-     * @param addresses the addresses
-     * @param keepSeconds how long to keep the answer, s
-     * @return JSON
+     * @param addresses addresses in order of preference
+     * @param keepSeconds how long callers may cache the response, s
+     * @return response body, JSON
      */
     String directoryAnswer(List<String> addresses, int keepSeconds);
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ProcessParts.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ProcessParts.java
@@ -19,12 +19,11 @@
 import org.parsleydrift.wire.NetworkLoop;
 import org.parsleydrift.wire.NetworkThreads;
 
-/** What both roles are made of: one network thread with its loop, the platform, metrics. */
+/** Components shared by both roles: a network thread with its event loop, the client of the platform, and metrics. */
 final class ProcessParts {
-    /** Connections of whoever reads metrics; a few at most. */
     private static final int METRICS_CONNECTIONS = 16;
 
-    /** Spreads the seeds of VMs that start in the same millisecond. */
+    /** Multiplier that separates the seeds of VMs started in the same millisecond. */
     private static final long PRIME = 1_000_003L;
 
     final RoleSettings settings;
@@ -37,7 +36,7 @@
 
     ProcessParts(RoleSettings settings) {
         this.settings = settings;
-        // Ties and pauses only; a secure generator would lengthen the start.
+        // Used for tie-breaking and jitter only; a secure generator would delay the start.
         this.random = new SplittableRandom(
                 settings.vm().hashCode() * PRIME + loop.clock().instant().toEpochMilli());
         this.outside = ServiceLoader.load(OutsideInterface.class).stream()
@@ -56,7 +55,7 @@
         });
     }
 
-    /** Listens for small requests with whole bodies. */
+    /** Starts an HTTP server for requests with small bodies. */
     HttpServer serve(Address address, int connections, org.parsleydrift.wire.HttpHandler handler) {
         return new HttpServer(threads, address.host(), address.port(), connections, handler);
     }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/Role.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/Role.java
@@ -1,13 +1,12 @@
 package org.parsleydrift.roles;
 
-/** A running role. */
+/** Role that a process runs. */
 interface Role {
-    /** Starts it. */
     void start();
 
-    /** Ends it without cutting anything short; returns when the process may end. */
+    /** Finishes open work; returns when the process may exit. */
     void drain();
 
-    /** Told that the settings file may have changed. */
+    /** Applies the settings file, which may have changed. */
     void reload(RoleSettings settings);
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleKind.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleKind.java
@@ -1,9 +1,9 @@
 package org.parsleydrift.roles;
 
-/** What a process of the caller-driven deployment does. */
+/** Roles of a process of the caller-driven deployment. */
 public enum RoleKind {
-    /** Serves callers, and tells them which addresses to use. */
+    /** Serves callers, and answers which addresses they can use. */
     ENTRY,
-    /** Keeps conversations on its disk. */
+    /** Stores conversations on its disk. */
     STORE
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleMain.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleMain.java
@@ -8,7 +8,7 @@
 import org.parsleydrift.kernel.StepException;
 import org.parsleydrift.logging.RingLoggerFinder;
 
-/** Starts the role that the settings name. SIGTERM drains it; SIGHUP has it read its settings again. */
+/** Runs the role selected by the settings. SIGTERM drains it; SIGHUP reloads its settings. */
 public final class RoleMain {
     private static final Logger LOG = System.getLogger(RoleMain.class.getName());
     private static final int USAGE = 2;
@@ -16,9 +16,9 @@
     private RoleMain() {}
 
     /**
-     * Runs a role until it is told to end.
+     * Runs a role until the process is terminated. Exits with 2 on wrong usage and with 1 if the start fails.
      *
-     * @param arguments the settings file
+     * @param arguments path of the settings file
      */
     public static void main(String[] arguments) {
         if (arguments.length != 1 || arguments[0].startsWith("-")) {
@@ -66,14 +66,17 @@
         try {
             role.reload(RoleSettingsReader.read(file));
         } catch (StepException fault) {
-            // The settings that the process runs with stay in force.
+            // The current settings stay in effect.
             LOG.log(
                     Logger.Level.ERROR,
                     LogLine.of("settings_refused").failure(fault).toString());
         }
     }
 
-    /** Without a handler SIGHUP would end the process. By reflection, since the class has no public module. */
+    /**
+     * Installs a SIGHUP handler, without which the signal would end the process. Uses reflection, because the class is
+     * not in a public module.
+     */
     private static void onHangUp(Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettings.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettings.java
@@ -8,22 +8,22 @@
 /**
  * Settings of a process of the caller-driven deployment (docs/OPERATIONS.md).
  *
- * @param role what the process does
- * @param vm the VM's name
- * @param zone its availability zone
- * @param link address for other processes of the system
- * @param callers address for callers; entry only
- * @param readiness address that tells whether it is ready; entry only
- * @param directory address that tells which addresses to use; entry only
- * @param metrics address of the metrics
- * @param platform address of the shared objects
- * @param outside name of the plug-in that speaks to callers, runners and the platform
- * @param dataFolder folder on the disk; store only
+ * @param role role of the process
+ * @param vm name of the VM
+ * @param zone availability zone of the VM
+ * @param link listening address for other processes of the system
+ * @param callers listening address for callers; entry only
+ * @param readiness listening address of the readiness check; entry only
+ * @param directory listening address of the directory of entry nodes; entry only
+ * @param metrics listening address of the metrics
+ * @param platform address of the platform's object store
+ * @param outside name of the plug-in for the protocols of callers, runners and platform
+ * @param dataFolder folder for stored data; store only
  * @param firstStart whether the whole system starts for the first time, with empty disks
- * @param toleratedLosses disks of store VMs that may be lost at once; store only
- * @param storeMembers members of the set at most; store VMs beyond them stand by; store only
- * @param allotmentRule how requests count against their team's allotment; entry only
- * @param grace time between SIGTERM and the end by force
+ * @param toleratedLosses number of store VMs whose disks may be lost at once; store only
+ * @param storeMembers maximum number of members of the store set; further store VMs are standbys; store only
+ * @param allotmentRule how requests are counted against the quota of their team; entry only
+ * @param grace time between SIGTERM and forced termination
  */
 public record RoleSettings(
         RoleKind role,
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettingsReader.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettingsReader.java
@@ -18,17 +18,17 @@
 import org.parsleydrift.placement.AllotmentRule;
 
 /**
- * Reads and checks settings: JSON with comments. All faults are told at once; fields that are not known are passed over.
- * Checked by hand and not by a schema library, which would double the time from start to ready.
+ * Reads and validates settings: JSON with comments. All errors are reported at once; unknown fields are ignored.
+ * Validated without a schema library, which would delay the start.
  */
 public final class RoleSettingsReader {
     private static final JsonMapper MAPPER =
             JsonMapper.builder().enable(JsonReadFeature.ALLOW_JAVA_COMMENTS).build();
 
-    /** With three store VMs one may be lost; a set that wants fewer could not be changed. */
+    /** The smallest number with which the store set can still be changed. */
     private static final int DEFAULT_TOLERATED_LOSSES = 1;
 
-    /** Long beside the tenths of a second after which nodes know of each other's requests. */
+    /** Long compared with the delay at which nodes exchange their usage. */
     private static final double DEFAULT_ALLOTMENT_WINDOW_SECONDS = 5;
 
     private final JsonNode root;
@@ -39,11 +39,11 @@
     }
 
     /**
-     * Reads a file.
+     * Reads settings from a file.
      *
-     * @param file the file
+     * @param file path of the file
      * @return the settings
-     * @throws StepException with every fault
+     * @throws StepException listing all errors; also if the file cannot be read
      */
     public static RoleSettings read(Path file) {
         try {
@@ -54,12 +54,12 @@
     }
 
     /**
-     * Reads a text.
+     * Reads settings from a text.
      *
-     * @param name its name, for errors
-     * @param text the text
+     * @param name name of the source, for errors
+     * @param text JSON with comments
      * @return the settings
-     * @throws StepException with every fault
+     * @throws StepException listing all errors
      */
     public static RoleSettings parse(String name, String text) {
         JsonNode root;
@@ -123,7 +123,7 @@
         return value.asDouble();
     }
 
-    /** Unless said otherwise the least number of which a majority is left when as many disks as may be are lost at once. */
+    /** The default is the smallest number of members that keeps a majority after the tolerated losses. */
     private int storeMembers(int least) {
         JsonNode value = root.path("store_members");
         if (value.isMissingNode()) {
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/StoreRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/StoreRole.java
@@ -17,10 +17,10 @@
 import org.parsleydrift.registry.SharedObject;
 import org.parsleydrift.registry.VersionedTable;
 
-/** The store role: a replica on the disk and the upkeep of the set. */
+/** Store role: keeps a replica of conversations on disk and maintains the store set. */
 final class StoreRole implements Role {
     private static final Logger LOG = System.getLogger(StoreRole.class.getName());
-    /** Longest wait of a watch: rare changes, and members tell each other of the set directly. */
+    /** Maximum duration of a watch. Changes are rare, and members exchange the store set directly. */
     private static final Duration WATCH_WAIT = Duration.ofSeconds(8);
 
     private static final int DISK_ID_BYTES = 8;
@@ -50,7 +50,7 @@
                 settings.storeMembers());
     }
 
-    /** Made only for an empty disk: setting up the secure generator would lengthen each start. */
+    /** Generated for empty disks only: initializing the secure generator would delay each start. */
     private static String freshDiskId() {
         byte[] id = new byte[DISK_ID_BYTES];
         new SecureRandom().nextBytes(id);
@@ -71,7 +71,7 @@
 
     @Override
     public void drain() {
-        // What was acknowledged is on disk; nothing else here is owed to anybody.
+        // Acknowledged records are on disk; nothing else has to be finished.
         LOG.log(Logger.Level.INFO, LogLine.of("store_stopping").toString());
     }
 
@@ -95,7 +95,7 @@
 
             @Override
             public void reached(boolean reached) {
-                // The follower has logged it; the set stays as it is until the platform is back.
+                // Logged by the watcher; the set does not change during an outage.
             }
         });
     }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ToldObjects.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ToldObjects.java
@@ -10,12 +10,12 @@
 import org.parsleydrift.registry.SharedObject;
 
 /**
- * Shared objects as one node tells them another: all that are present, or the newest changes.
+ * Message with shared objects of one kind: either all that are present, or the latest changes.
  *
- * @param kind their kind
- * @param changes the objects, and the revision up to which the teller's knowledge is complete
- * @param newestChange the revision of the newest change that the teller knows
- * @param ageMillis time since the moment up to which the teller's knowledge is complete, ms
+ * @param kind kind of the objects
+ * @param changes the objects, with the revision up to which the sender's copy is complete
+ * @param newestChange revision of the sender's latest known change
+ * @param ageMillis staleness of the sender's copy, ms
  */
 record ToldObjects(ObjectKind kind, ObjectChanges changes, long newestChange, long ageMillis) {
     void write(MessagePacker out) throws IOException {
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ToldUse.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ToldUse.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /**
- * What a node told its hub of its own use, by round. The hub's sum holds one of these; a node that counted it beside what
- * it knows of itself would take each of its requests for two.
+ * History of the usage that this node has sent to its hub, by round. The sum of the hub contains one of these values,
+ * which has to be subtracted so that this node's own requests are not counted twice.
  */
 final class ToldUse {
-    /** Rounds that are remembered: some seconds, longer than a sum may be old. */
+    /** Number of rounds kept; covers more time than a summary stays valid. */
     private static final int REMEMBERED = 32;
 
     private final Map<Integer, NodeUse> byRound = new LinkedHashMap<>();
@@ -21,7 +21,7 @@
         }
     }
 
-    /** The use of all other nodes of a zone, by the zone's summary. */
+    /** Returns the usage of all other nodes of a zone according to the summary of the zone. */
     NodeUse othersIn(ZoneSummaries.Heard heard, String self) {
         return heard.summary().use().minus(ownIn(heard, self));
     }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ZoneHub.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ZoneHub.java
@@ -10,14 +10,14 @@
 import org.parsleydrift.registry.ObjectKind;
 
 /**
- * What a node does as the hub of its availability zone: it sums up what the nodes there say of themselves, tells the sums
- * to other zones, and passes on to its own zone the sums of all.
+ * Hub of an availability zone: aggregates the states of its nodes, sends the summary to other zones, and distributes
+ * the summaries of all zones in its own.
  */
 final class ZoneHub {
     static final byte ZONES = 16;
-    /** Of so many rounds one names the members of each zone, for nodes that missed the last naming. */
+    /** Rounds between summaries that list the members, for nodes that missed the last list. */
     private static final int NAMES_EVERY = 3;
-    /** Of so many rounds one tells the members' addresses, for nodes that nothing else has told them. */
+    /** Rounds between summaries that include the addresses of the members, for nodes that do not know them yet. */
     private static final int ADDRESSES_EVERY = 10;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -36,18 +36,19 @@
     }
 
     /**
-     * Tells one round.
+     * Sends the summaries of one round.
      *
-     * @param plan whom to tell
-     * @param own this node's state
-     * @param probing whether nodes of this zone that seem gone are told too: one may have come back and know nobody
-     * @param mates nodes of this zone that this node hears itself, in the order of their names
-     * @param now the time
+     * @param plan receivers
+     * @param own state of this node
+     * @param probing whether the round also goes to nodes that have timed out, which may have restarted without knowing
+     *     any peer
+     * @param mates nodes of this zone that this node hears directly, ordered by name
+     * @param now time on the clock, ns
      */
     void tell(MeshPlan plan, NodeState own, boolean probing, List<MeshPeer> mates, long now) {
         round++;
         ZoneSummary summary = summary(own, mates, now);
-        // A node that has just come may know of nobody, of no other zone either.
+        // A node that has just started may not know any other node or zone.
         boolean changed = !summary.members().equals(Optional.of(lastMembers));
         lastMembers = summary.members().orElseThrow();
         ZoneSummary.Detail detail = changed ? ZoneSummary.Detail.ADDRESSES : detail();
@@ -92,7 +93,7 @@
                 identity.name(), Optional.of(identity), state.ready(), state.reachesStores(), state.reachesPlatform());
     }
 
-    /** Of each kind the newest change that any node knows, and how long ago the platform answered any. */
+    /** Returns the latest revision that any node of the zone knows, and the lowest staleness, by kind. */
     private static Map<ObjectKind, NodeState.Known> known(NodeState own, List<MeshPeer> mates, long now) {
         Map<ObjectKind, NodeState.Known> known = new EnumMap<>(ObjectKind.class);
         known.putAll(own.known());
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ZoneSummaries.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ZoneSummaries.java
@@ -9,20 +9,26 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** The newest summary of each availability zone that a node has heard, and what it told of them to the nodes of its own. */
+/**
+ * Latest summary received for each availability zone, and the versions of them that were sent to the nodes of the own
+ * zone.
+ */
 final class ZoneSummaries {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final Map<String, Heard> zones = new TreeMap<>();
     private final Map<String, Long> toldVersions = new HashMap<>();
 
-    /** A summary, the members that hold for it, and when it was made. */
+    /** Received summary, the members that are valid for it, and the time at which it was created. */
     record Heard(ZoneSummary summary, Optional<List<ZoneSummary.Member>> members, long saidNanos) {
         private boolean sameHub(ZoneSummary other) {
             return summary.hub().equals(other.hub());
         }
 
-        /** Members that the same hub doesn't name any more; those that a new hub hasn't heard yet may only be late. */
+        /**
+         * Returns the members that the same hub no longer lists. A new hub may not have heard all members yet, so a
+         * change of the hub yields none.
+         */
         Set<String> leftBefore(Heard now) {
             if (!sameHub(now.summary()) || members.isEmpty() || now.members().isEmpty()) {
                 return Set.of();
@@ -35,11 +41,11 @@
     }
 
     /**
-     * Takes a summary in if it is newer than what is known of its zone.
+     * Applies a summary if it is newer than the known one of its zone.
      *
      * @param told the summary
-     * @param saidNanos when it was made
-     * @return what holds for the zone from now on; empty if it is older
+     * @param saidNanos time at which it was created, ns
+     * @return the state of the zone after the update; empty if the summary is outdated
      */
     Optional<Heard> take(ZoneSummary told, long saidNanos) {
         Heard known = zones.get(told.zone());
@@ -48,7 +54,7 @@
         }
         boolean sameMembers =
                 known != null && known.sameHub(told) && known.summary().version() == told.version();
-        // A list of names alone must not take the place of one with addresses, which is passed on now and then.
+        // A list with addresses is kept, because it is forwarded to other nodes, which may not know the addresses.
         boolean keep = sameMembers && known.members().isPresent() && !told.namesAddresses();
         Optional<List<ZoneSummary.Member>> members = keep ? known.members() : told.members();
         Heard heard = new Heard(told, members, saidNanos);
@@ -56,12 +62,11 @@
         return Optional.of(heard);
     }
 
-    /** What is known of a zone. */
     Optional<Heard> of(String zone) {
         return Optional.ofNullable(zones.get(zone));
     }
 
-    /** Drops summaries that are older than a time; gives their zones. */
+    /** Removes summaries older than a limit; returns their zones. */
     List<String> forgetOlder(Duration limit, long now) {
         List<String> old = zones.entrySet().stream()
                 .filter(each -> now - each.getValue().saidNanos() > limit.toNanos())
@@ -71,7 +76,10 @@
         return old;
     }
 
-    /** Summaries of all zones but one, to pass on; members that changed are told whatever the detail. */
+    /**
+     * Returns the summaries of all zones but one, for forwarding. Members that have changed are included at any level
+     * of detail.
+     */
     List<ZoneSummary> toPassOn(String except, ZoneSummary.Detail detail, long now) {
         return zones.values().stream()
                 .filter(each -> !each.summary().zone().equals(except))
@@ -84,7 +92,7 @@
                 .toList();
     }
 
-    /** Whether members of this version were not told yet. */
+    /** Whether this version of the members has not been sent yet. */
     private boolean versionIsNews(String origin, long version) {
         Long former = toldVersions.put(origin, version);
         return former == null || former != version;
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ZoneSummary.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ZoneSummary.java
@@ -10,18 +10,17 @@
 import org.parsleydrift.registry.ObjectKind;
 
 /**
- * What the hub of an availability zone says of all entry nodes there. A decision needs the sum of their requests at a
- * runner and not who has them, and a node's readiness changes rarely: told state by state, 360 nodes at rest heard 32 KB
- * a second each.
+ * Aggregated state of all entry nodes of an availability zone, created by its hub. It holds the sum of their loads
+ * instead of one state per node, to keep status traffic small in large fleets.
  *
- * @param zone the zone
- * @param hub the node that made it
- * @param ageMillis time since it was made, ms
- * @param version grows with each change of the members
- * @param members the nodes that the hub hears; told when they change and now and then, else the last ones hold
- * @param rounds the round of each member's newest state, in the order of the members
- * @param known what the nodes of the zone know, by kind
- * @param use what all members have in use
+ * @param zone name of the zone
+ * @param hub name of the node that created the summary
+ * @param ageMillis time since the summary was created, ms
+ * @param version version of the members; increases with each change
+ * @param members nodes that the hub hears; empty if unchanged since the last list
+ * @param rounds round of each member's latest state, in the order of the members
+ * @param known latest revision and lowest staleness in the zone, by kind
+ * @param use sum of the usage of all members
  */
 record ZoneSummary(
         String zone,
@@ -40,11 +39,11 @@
     }
 
     /**
-     * A node as its hub hears it.
+     * Node as seen by its hub.
      *
-     * @param name the node
-     * @param identity its addresses; told now and then only, for nodes that don't know it yet
-     * @param ready whether it may be named to callers
+     * @param name name of the node
+     * @param identity its addresses; included in some summaries only, for nodes that do not know it yet
+     * @param ready whether the node can be advertised to callers
      * @param reachesStores whether it reaches the store VMs directly
      * @param reachesPlatform whether the platform answers it
      */
@@ -71,32 +70,34 @@
         }
     }
 
-    /** How much is told of a zone's members. */
+    /** How much of the members is included. */
     enum Detail {
-        /** That they are the same as before. */
+        /** Members omitted, because they are unchanged. */
         NONE,
         NAMES,
         ADDRESSES
     }
 
-    /** The same summary as a node of another zone passes it on, without the rounds, which its own zone needs alone. */
+    /**
+     * Returns the summary for forwarding to another zone, without the rounds, which only the members' own zone needs.
+     */
     ZoneSummary passedOn(Optional<List<Member>> heard, Detail detail, long age) {
         return new ZoneSummary(zone, hub, age, version, detailed(heard, detail), List.of(), known, use);
     }
 
-    /** The same summary with its members in a detail. */
+    /** Returns the summary with the members at a level of detail. */
     ZoneSummary with(Detail detail) {
         return new ZoneSummary(zone, hub, ageMillis, version, detailed(members, detail), rounds, known, use);
     }
 
-    /** Whether it tells the addresses of its members. */
+    /** Whether any member includes its addresses. */
     boolean namesAddresses() {
         return members.stream()
                 .flatMap(List::stream)
                 .anyMatch(each -> each.identity().isPresent());
     }
 
-    /** Whether another summary says the same, but for ages and rounds. */
+    /** Whether another summary differs in its age, rounds and staleness only. */
     boolean saysTheSame(ZoneSummary other) {
         return hub.equals(other.hub)
                 && version == other.version
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/CallerSpreadTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/CallerSpreadTest.java
@@ -10,11 +10,11 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
-/** Which nodes of a fleet callers are told of. */
+/** Selection of the nodes that are advertised to callers. */
 public class CallerSpreadTest {
     private static final int FLEET = 66;
     private static final int ZONES = 3;
-    /** A third of the fleet, and as many in each zone. */
+    /** Minimum number of advertised nodes: a third of the fleet, rounded up per zone. */
     private static final int LEAST = 24;
 
     private final CallerSpread spread = new CallerSpread();
@@ -32,8 +32,7 @@
     }
 
     /**
-     * Each of 66 nodes served some fifteen requests a second, opened a connection to a runner for every third of them, and
-     * spent several times the processor time of a warm node on each. The load needs a third of the nodes.
+     * Guards against spreading a small load over all nodes of a large fleet, none of which then reuses its connections.
      */
     @Test
     public void aLargeFleetIsNamedAsTheLoadNeeds() {
@@ -49,7 +48,9 @@
         assertFalse(named.stream().anyMatch(each -> each.name().equals("n00")), "a hub is named");
     }
 
-    /** A burst of thrice the load, or nodes that have become slow: more nodes are named before the next list is asked for. */
+    /**
+     * Guards against advertising too few nodes during a burst, and against removing nodes as soon as the load drops.
+     */
     @Test
     public void moreAreNamedAtOnceAndFewerAfterAWhile() {
         spread.load(120, 0);
@@ -63,7 +64,7 @@
         assertEquals(spread.named(nodes(FLEET)).size(), FLEET);
     }
 
-    /** When a zone is lost, the others' nodes are named as far as there are any. */
+    /** Guards against leaving out the nodes of a zone that has fewer than its share. */
     @Test
     public void aZoneWithFewNodesNamesWhatItHas() {
         List<NodeIdentity> ready = nodes(FLEET).stream()
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/KnowledgeAfterSilenceTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/KnowledgeAfterSilenceTest.java
@@ -15,12 +15,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Entry nodes answered "no such route" for a route that the platform had acknowledged 2.7 s before. The platform had
- * answered nobody for nine seconds without closing a connection, and had been back for three. Watches that the nodes had
- * sent into the silence were never answered and were given up only after 4.7 to 8.7 s, so for seconds hardly a node knew
- * of the change, and where none did none could tell the others. In a like silence from 6.1 to 15.1 s six of seven nodes
- * had {@code platform_lost kind=MANIFEST reason=UNKNOWN} between 12.4 and 13.9 s, were hanging again when it ended, and
- * knew the next version by {@code learned_from_peer kind=MANIFEST own_as_of=34 as_of=59} alone.
+ * Guards against stale objects after an outage of the platform in which connections stay open and nothing is answered:
+ * watches sent during the outage are never answered, so changes made after it would be missed until they time out.
  */
 public class KnowledgeAfterSilenceTest {
     private static final long SEEDS = 100;
@@ -47,7 +43,7 @@
                 List.of());
     }
 
-    /** The same where all connections to the platform go silent at one moment, while new ones work. */
+    /** The same when all existing connections die at once while new ones work. */
     @Test(dataProvider = "kinds")
     public void aChangeIsKnownInTimeAfterAllConnectionsWentSilent(ObjectKind kind) {
         assertEquals(
@@ -62,7 +58,7 @@
                 List.of());
     }
 
-    /** Silences of any length, connections lost at any moment, one after the other; changes when the platform is back. */
+    /** Random sequences of outages and dead connections, followed by changes after each. */
     @Test
     public void changesAreKnownInTimeAfterAnyRowOfSilences() {
         assertEquals(
@@ -85,7 +81,7 @@
                 List.of());
     }
 
-    /** Sixty nodes, who pass states on by way of hubs, know in time as well. */
+    /** The same in a fleet of 60 nodes with hubs. */
     @Test
     public void sixtyNodesKnowAChangeInTimeAfterAllConnectionsWentSilent() {
         assertEquals(
@@ -104,10 +100,8 @@
     }
 
     /**
-     * Nodes took a silence for ended, and noticed it anew, ten times a second. Each told the others how old its knowledge
-     * was, what it had from them included; every telling took some ms, and by so much the age came back younger:
-     * {@code platform_silent known_ms_ago=2028}, {@code 2117}, {@code 2207}, each after a {@code silence_ended}, while the
-     * platform answered nobody.
+     * Guards against staleness that shrinks as it is relayed between nodes, which would end and restart an outage
+     * repeatedly.
      */
     @Test
     public void whatNodesTellEachOtherMakesKnowledgeNoYounger() {
@@ -122,7 +116,7 @@
         });
     }
 
-    /** A node that has only just started has been answered nothing, and must not speak for the platform. */
+    /** Guards against a node without any answer from the platform ending the outage for its peers. */
     @Test
     public void aNodeThatStartsInASilenceDoesNotEndItForTheOthers() {
         MeshFleet fleet = new MeshFleet(1);
@@ -139,9 +133,8 @@
     }
 
     /**
-     * Where the platform turned away the nodes that come first in the order of checks, the others left the checks to them
-     * for longer than knowledge may be old: a silence was noticed, ended and noticed anew, though four nodes of seven
-     * were served all the while.
+     * Guards against nodes that the platform rejects being given precedence for checks, which would let the copies
+     * become stale.
      */
     @Test
     public void nodesThatAreTurnedAwayLeaveTheChecksToOthers() {
@@ -163,7 +156,7 @@
         return new Object[][] {{1}, {7}, {60}};
     }
 
-    /** Each call to the platform is priced and counts toward a rate: nodes check for each other, also in a silence. */
+    /** Guards against a number of checks that grows with the number of nodes, also during an outage. */
     @Test(dataProvider = "sizes")
     public void checksDontGrowWithTheNodes(int nodes) {
         MeshFleet fleet = new MeshFleet(1, nodes);
@@ -174,9 +167,8 @@
         fleet.platform.silent(true);
         fleet.time.advance(span);
         long silent = fleet.platform.checks() - before - quiet;
-        // Of each of two kinds one check a second; in a silence a node asks the less often the more come before it,
-        // which
-        // adds up to the logarithm of their number: 3.5 a second for 7 nodes, 6 for 60.
+        // One check per second for each of two kinds. During an outage a node checks the less often the more nodes
+        // precede it, which adds up to the logarithm of their number.
         assertTrue(quiet <= 2 * 1.2 * span.toSeconds(), "checks " + quiet);
         assertTrue(silent <= 2 * 7 * span.toSeconds(), "checks in a silence " + silent);
     }
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshBytesTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshBytesTest.java
@@ -9,17 +9,14 @@
 import org.parsleydrift.kernel.ManualScheduler;
 import org.testng.annotations.Test;
 
-/** What nodes hear of each other in the largest fleet that is planned for. */
+/** Status traffic in the largest supported fleet. */
 public class MeshBytesTest {
     private static final int NODES = 360;
     private static final int ZONES = 21;
-    /** Bytes a second that a node may spend on control. */
+    /** Maximum status traffic received by a node, bytes/s. */
     private static final long MOST_BYTES = 21_000;
 
-    /**
-     * Symptom: small VMs spend their processor time and links on hearing of other nodes. Events: none, the fleet is at rest.
-     * Cause: each node is told the whole state of each other one, several times a second.
-     */
+    /** Guards against status traffic that grows with the number of nodes in an idle fleet. */
     @Test
     public void aNodeAtRestHearsFewBytes() {
         ManualScheduler time = new ManualScheduler();
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshFleet.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshFleet.java
@@ -9,9 +9,9 @@
 import org.parsleydrift.registry.SharedObjects;
 import org.parsleydrift.standin.InMemorySharedObjects;
 
-/** Entry nodes in three zones that follow one platform on virtual time. */
+/** Entry nodes in three zones that watch one platform, on virtual time. */
 final class MeshFleet {
-    /** Every node knows a change this long after the platform has acknowledged it. */
+    /** Time within which every node must know a change after the platform has acknowledged it. */
     static final Duration BOUND = Duration.ofSeconds(2);
 
     private static final int NODES = 7;
@@ -31,7 +31,7 @@
         time.advance(Duration.ofSeconds(3));
     }
 
-    /** Has each node know of each other one. */
+    /** Introduces all nodes to each other. */
     void introduce() {
         members.values().forEach(each -> members.values().forEach(other -> each.mesh.known(other.identity)));
     }
@@ -52,7 +52,7 @@
         });
     }
 
-    /** Frames that the nodes send within a span. */
+    /** Returns the number of frames that all nodes send within a time span. */
     long frames(Duration span) {
         long before = members.values().stream().mapToLong(each -> each.sent).sum();
         time.advance(span);
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshMember.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshMember.java
@@ -27,7 +27,7 @@
 import org.parsleydrift.registry.VersionedTable;
 import org.parsleydrift.relay.Dispatcher;
 
-/** An entry node's mesh on virtual time, linked to the others by a network with 1 ms of delay. */
+/** Mesh of one entry node on virtual time; frames to other members take 1 ms. */
 final class MeshMember {
     final NodeIdentity identity;
     final VersionedTable runners = new VersionedTable();
@@ -46,12 +46,12 @@
     private final ManualEventLoop loop;
     private final Random random;
 
-    /** A member that learns of runners from its peers alone. */
+    /** A member that receives runners from its peers only. */
     MeshMember(ManualScheduler time, Map<String, MeshMember> members, String name, String zone) {
         this(time, members, name, zone, Optional.empty(), 2);
     }
 
-    /** A member that follows runners and the manifest at the platform too. */
+    /** A member that also watches runners and the manifest on the platform. */
     MeshMember(
             ManualScheduler time,
             Map<String, MeshMember> members,
@@ -99,7 +99,7 @@
         mesh.start();
     }
 
-    /** Ends the process: it neither speaks nor hears, and asks the platform for nothing. */
+    /** Ends the process: it sends and receives no frames, and sends no requests to the platform. */
     void kill() {
         cut = true;
         loop.kill();
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshPlanTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshPlanTest.java
@@ -11,7 +11,7 @@
 import org.parsleydrift.roles.MeshPlan.Neighbour;
 import org.testng.annotations.Test;
 
-/** Whom a node tells what, by what it hears. Nodes are named a0 to a9 and b0 to b9 in zones a and b. */
+/** Receivers of status frames. Nodes are named a0 to a9 and b0 to b9, in zones a and b. */
 public class MeshPlanTest {
     private static NodeIdentity node(String name) {
         return new NodeIdentity(name, name.substring(0, 1), name + ":80", name);
@@ -53,7 +53,7 @@
         assertEquals(plan.all().size(), 9);
     }
 
-    /** Symptom: a node's state reaches nobody. Events: the hub has gone silent, others still pass on its last state. */
+    /** Guards against losing a node's state while its hub has failed and others still forward the hub's last state. */
     @Test
     public void aSilentHubAndItsSuccessorAreBothTold() {
         MeshPlan plan = MeshPlan.of(node("a3"), others("a3", name -> true, "a1", "a2"), false, false);
@@ -62,7 +62,7 @@
         assertEquals(names(later.own()), List.of("a1"));
     }
 
-    /** A node that hears nobody before itself, or that others take for their hub, passes states on. */
+    /** A node that hears no node before itself, or that others treat as their hub, acts as a hub. */
     @Test
     public void whoHearsNoHubActsAsOne() {
         MeshPlan alone = MeshPlan.of(node("a3"), others("a3", name -> false), false, false);
@@ -73,7 +73,7 @@
         assertEquals(asked.all().size(), 9);
     }
 
-    /** A node that came back and knows nobody is found, since silent ones are tried now and then. */
+    /** Guards against never reaching a restarted node that knows no peers. */
     @Test
     public void silentNodesAreTriedNowAndThen() {
         MeshPlan plan = MeshPlan.of(node("a0"), others("a0", name -> !name.equals("a5"), "a1"), false, false);
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/NodeMeshAtScaleTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/NodeMeshAtScaleTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What sixty entry nodes in three zones learn from each other by way of hubs. */
+/** Status exchange of 60 entry nodes in three zones with hubs. */
 public class NodeMeshAtScaleTest {
     private static final int NODES = 60;
     private static final int ZONES = 3;
@@ -54,20 +54,14 @@
         assertTrue(members.get("z1-05").mesh.readyAddresses().getFirst().startsWith("z1-"));
     }
 
-    /**
-     * Symptom: nodes spend more processor time on each other than on requests. Cause: each told each, 60 x 59 frames a
-     * round of 320 ms when nothing changes.
-     */
+    /** Guards against a number of frames that grows with the square of the nodes. */
     @Test
     public void framesGrowWithTheNodesAndNotWithTheirSquare() {
         long frames = frames(Duration.ofMillis(3200));
         assertTrue(frames < 10 * 4 * NODES, "frames " + frames);
     }
 
-    /**
-     * Symptom: a whole zone is taken for gone. Events: its hub ends without a word. Cause: nobody else passes the zone's
-     * states on.
-     */
+    /** Guards against a zone timing out when its hub fails. */
     @Test
     public void aHubThatEndsIsSucceededBeforeItsZoneCountsAsSilent() {
         members.get("z0-00").cut = true;
@@ -84,7 +78,7 @@
         assertTrue(frames < 10 * 4 * NODES, "frames " + frames);
     }
 
-    /** A node that stops is left out by all within a third of a second. */
+    /** A node that shuts down is no longer advertised by any node within 330 ms. */
     @Test
     public void aStoppingNodeIsLeftOutEverywhere() {
         MeshMember stopping = members.get("z2-11");
@@ -94,7 +88,7 @@
         members.values().forEach(each -> assertFalse(ready(each).contains(stopping.identity.callers())));
     }
 
-    /** The platform turns all nodes of two zones away; a change that the third learns reaches them all in time. */
+    /** Guards against changes not reaching nodes that the platform rejects, here all nodes of two zones. */
     @Test
     public void newsReachNodesThatThePlatformTurnsAway() {
         SharedObject runner = new SharedObject("r1", 5, false, new byte[] {1});
@@ -105,7 +99,7 @@
         members.values().forEach(each -> assertEquals(each.runners.present(), List.of(), each.identity.name()));
     }
 
-    /** A node that comes back while the platform knows nothing of it is found by its hub. */
+    /** Guards against a restarted node without any known peers staying isolated; its hub must find it. */
     @Test
     public void aNodeThatKnowsNobodyIsFound() {
         members.remove("z1-04");
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/NodeMeshTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/NodeMeshTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What entry nodes learn from each other. */
+/** Status exchange between two entry nodes. */
 public class NodeMeshTest {
     private ManualScheduler time;
     private Map<String, MeshMember> members;
@@ -27,10 +27,7 @@
         time.advance(Duration.ofSeconds(1));
     }
 
-    /**
-     * Symptom: a leaving runner gets requests from one node. Events: the platform turns that node away and serves its
-     * peers. Cause: it waits for the platform alone.
-     */
+    /** Guards against a node that the platform rejects sending requests to a draining runner. */
     @Test
     public void aNodeThatThePlatformTurnsAwayLearnsFromItsPeer() {
         MeshMember a = members.get("a");
@@ -44,7 +41,7 @@
         assertEquals(b.learned.size(), 1);
     }
 
-    /** Changes of other kinds move the platform's counter; that alone is no news. */
+    /** The revision counter also advances with changes of other kinds, which must not cause a fetch. */
     @Test
     public void aHigherCounterAloneIsNoReasonToAsk() {
         MeshMember a = members.get("a");
@@ -57,7 +54,7 @@
         assertEquals(b.runners.asOf(), 5);
     }
 
-    /** Callers are told of nodes that are ready and heard of, and of no others. */
+    /** Guards against advertising nodes that are not ready or have timed out. */
     @Test
     public void silentAndStoppingNodesAreNotNamed() {
         MeshMember a = members.get("a");
@@ -75,7 +72,7 @@
         assertEquals(a.mesh.readyAddresses(), List.of("a:80"));
     }
 
-    /** A node that is cut off from the store VMs finds a peer that is not. */
+    /** A node that cannot reach the store VMs finds a peer that can. */
     @Test
     public void namesAPeerThatReachesTheStores() {
         MeshMember a = members.get("a");
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/PlatformCallsTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/PlatformCallsTest.java
@@ -11,19 +11,16 @@
 import org.parsleydrift.registry.ObjectKind;
 import org.testng.annotations.Test;
 
-/** A large fleet asks the platform by zones and not by nodes, and still knows changes in time. */
+/** Requests of a large fleet to the platform, and the delay of changes. */
 public class PlatformCallsTest {
     private static final int NODES = 95;
     private static final int ZONES = 3;
     private static final long SEEDS = 5;
     private static final int CHANGES = 20;
-    /** Calls a node and second that a fleet may make while the platform's objects change once a second. */
+    /** Maximum number of requests per node and second while one object changes per second. */
     private static final double MOST_CALLS = 0.2;
 
-    /**
-     * Symptom: the calls to the platform cost a fleet more than its processors. Events: runners come and go, once a second.
-     * Cause: each change answers each node's watch, and each node asks anew.
-     */
+    /** Guards against each change causing a request of every node to renew its watch. */
     @Test
     public void callsAreAMatterOfZones() {
         MeshFleet fleet = new MeshFleet(1, NODES);
@@ -34,10 +31,7 @@
         assertTrue(each <= MOST_CALLS, each + " calls a node and second");
     }
 
-    /**
-     * Symptom: in a fleet without hubs a change costs more frames than requests do. Events: an operator changes the
-     * manifest. Cause: each node that learns of it passes it on to each other one.
-     */
+    /** Guards against every node of a full mesh forwarding each change to every other one. */
     @Test
     public void aChangeIsPassedOnByThoseWhoWatch() {
         MeshFleet fleet = new MeshFleet(1, 12);
@@ -46,12 +40,12 @@
         long quiet = fleet.frames(Duration.ofMillis(320));
         fleet.change(ObjectKind.MANIFEST, 1, Duration.ofMillis(1));
         long changed = fleet.frames(Duration.ofMillis(320));
-        // Three watchers tell eleven nodes each; a few nodes may tell their state once more for it.
+        // Three watching nodes send to eleven nodes each; a few nodes may send one additional status frame.
         long most = quiet + 3 * 11 + 3 * 11;
         assertTrue(changed <= most, changed + " frames of " + most);
     }
 
-    /** Every node knows each change well in time though few of them watch. */
+    /** All nodes receive each change although few of them watch. */
     @Test
     public void allNodesKnowAChangeSoon() {
         MeshFleet fleet = new MeshFleet(1, NODES);
@@ -66,10 +60,7 @@
         });
     }
 
-    /**
-     * Symptom: changes are known late. Events: the nodes that watch for their zones are killed, and a change comes right
-     * after, at any moment. Cause: nobody watches until they are missed.
-     */
+    /** Guards against late changes when the watching nodes of all zones fail just before a change. */
     @Test
     public void aChangeRightAfterTheWatchingNodesDiedIsKnownInTime() {
         assertEquals(
@@ -88,10 +79,7 @@
                 List.of());
     }
 
-    /**
-     * Symptom: a node that reaches the platform alone learns of nothing. Events: it is cut off from its peers, which watched
-     * for it. Cause: it leaves the watching to nodes that it doesn't hear any more.
-     */
+    /** Guards against a node that is partitioned from its peers still relying on them to watch. */
     @Test
     public void aNodeThatIsCutOffFromItsPeersWatchesByItself() {
         MeshFleet fleet = new MeshFleet(1, NODES);
@@ -106,7 +94,7 @@
         });
     }
 
-    /** Where the platform turns the first nodes of each zone away, others watch. */
+    /** Guards against relying on watching nodes that the platform rejects. */
     @Test
     public void nodesThatAreTurnedAwayLeaveTheWatchingToOthers() {
         MeshFleet fleet = new MeshFleet(1, 0);
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/RefusingObjects.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/RefusingObjects.java
@@ -11,7 +11,7 @@
 import org.parsleydrift.registry.SharedObject;
 import org.parsleydrift.registry.SharedObjects;
 
-/** The platform as a node sees it that is turned away. */
+/** Platform that rejects all requests. */
 final class RefusingObjects implements SharedObjects {
     @Override
     public CompletableFuture<ObjectChanges> list(ObjectKind kind) {
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/RoleSettingsReaderTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/RoleSettingsReaderTest.java
@@ -62,7 +62,7 @@
         assertTrue(fault.getMessage().contains("/tolerated_losses is no whole number"), fault.getMessage());
     }
 
-    /** A set that is too small for the losses that it is to bear would be noticed only once they come. */
+    /** Guards against accepting a store set that is too small for the tolerated losses. */
     @Test
     public void aSetSmallerThanItsLossesWantIsRefused() {
         String two = STORE.replace("\"grace_s\"", "\"tolerated_losses\": 2, \"grace_s\"");
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/ZoneSummariesTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/ZoneSummariesTest.java
@@ -12,7 +12,7 @@
 import org.parsleydrift.placement.UseReport;
 import org.testng.annotations.Test;
 
-/** What a node makes of the sums that hubs tell. */
+/** Processing of the summaries that hubs send. */
 public class ZoneSummariesTest {
     private static final long RUNNER = 7;
 
@@ -39,11 +39,7 @@
         return Optional.of(List.of(names));
     }
 
-    /**
-     * Symptom: runners look busier than they are by what the node itself has there, and get nothing from it. Events: the
-     * hub's sum holds what the node told two rounds ago, when it had three requests at the runner. Cause: the node adds
-     * the sum to what it has now.
-     */
+    /** Guards against counting a node's own load twice when its hub's sum contains an earlier value of it. */
     @Test
     public void aNodeTakesItsOwnLoadOutOfTheSum() {
         ToldUse told = new ToldUse();
@@ -59,7 +55,7 @@
         assertEquals(told.othersIn(newer, "c"), use(8));
     }
 
-    /** Summaries come over several hubs and out of order; an older one changes nothing. */
+    /** Summaries arrive through several hubs and out of order; older ones must be ignored. */
     @Test
     public void anOlderSummaryIsPassedOver() {
         ZoneSummaries zones = new ZoneSummaries();
@@ -68,10 +64,7 @@
         assertEquals(zones.of("z").orElseThrow().summary().use(), use(8));
     }
 
-    /**
-     * Symptom: callers are not told of nodes that live. Events: a hub ends; the next one has heard only some nodes of the
-     * zone yet. Cause: nodes that the new hub doesn't name are taken for gone.
-     */
+    /** Guards against removing live nodes when a new hub has not heard all members of its zone yet. */
     @Test
     public void onlyTheSameHubSaysWhoHasLeft() {
         ZoneSummaries zones = new ZoneSummaries();
@@ -85,7 +78,7 @@
         assertEquals(same.leftBefore(other), Set.of());
     }
 
-    /** A summary without members, of a version whose members were not heard, refreshes nobody. */
+    /** Guards against applying the members of a different version. */
     @Test
     public void membersOfAnotherVersionDontHold() {
         ZoneSummaries zones = new ZoneSummaries();
