--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/TeamKeys.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/TeamKeys.java
@@ -45,12 +45,12 @@
         Map<String, Team> index = new HashMap<>();
         holders.forEach(holder -> {
             String name = holder.team().name();
-            check(!name.isBlank(), "a team has no name");
-            check(names.add(name), "team " + name + " stands twice");
+            check(!name.isBlank(), "a team has a blank name");
+            check(names.add(name), "team " + name + " is defined more than once");
             holder.keys().forEach(key -> {
-                check(!key.isBlank(), "team " + name + " has an empty key");
+                check(!key.isBlank(), "team " + name + " has a blank API key");
                 Team other = index.put(key, holder.team());
-                check(other == null, "team " + name + " has a key that stands twice");
+                check(other == null, "team " + name + " has an API key that is already assigned");
             });
         });
         byKey = Map.copyOf(index);
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/Address.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/Address.java
@@ -19,11 +19,11 @@
     public static Address parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0) {
-            throw new IllegalArgumentException("'" + text + "' is not IP:PORT");
+            throw new IllegalArgumentException("invalid address '" + text + "', expected IP:PORT");
         }
         int port = Integer.parseInt(text.substring(colon + 1));
         if (port < 0 || port > 65535) {
-            throw new IllegalArgumentException("'" + text + "' has no port from 0 to 65535");
+            throw new IllegalArgumentException("invalid address '" + text + "', expected a port from 0 to 65535");
         }
         return new Address(text.substring(0, colon), port);
     }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
@@ -89,7 +89,7 @@
                 frames,
                 self.link(),
                 request -> CompletableFuture.failedFuture(
-                        new StepException(Step.FORWARD, self.name(), "an entry node keeps no conversations")));
+                        new StepException(Step.FORWARD, self.name(), "entry nodes do not store conversations")));
         stores = new ConversationClient(parts.loop, calls);
         allotments =
                 new Allotments(parts.loop.clock()::nanos, parts.random, settings.allotmentRule(), this::knowsFleetsUse);
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeIdentity.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeIdentity.java
@@ -37,14 +37,14 @@
                     Address.parse(text(root, "callers")).toString(),
                     Address.parse(text(root, "link")).toString());
         } catch (IOException | IllegalArgumentException fault) {
-            throw new StepException(Step.PARSE, "platform", "bad node entry: " + fault.getMessage());
+            throw new StepException(Step.PARSE, "platform", "invalid node entry: " + fault.getMessage());
         }
     }
 
     private static String text(JsonNode root, String field) {
         JsonNode value = root.required(field);
         if (!value.isTextual() || value.asText().isEmpty()) {
-            throw new IllegalArgumentException(field + " is no text");
+            throw new IllegalArgumentException("field " + field + " must be a non-empty string, got " + value);
         }
         return value.asText();
     }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettingsReader.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettingsReader.java
@@ -49,7 +49,7 @@
         try {
             return parse(file.toString(), Files.readString(file));
         } catch (IOException fault) {
-            throw new StepException(Step.CONFIGURE, file.toString(), "can't be read: " + fault.getMessage());
+            throw new StepException(Step.CONFIGURE, file.toString(), "cannot be read: " + fault.getMessage());
         }
     }
 
@@ -106,7 +106,7 @@
     private AllotmentRule allotmentRule() {
         double window = number("allotment_window_s", DEFAULT_ALLOTMENT_WINDOW_SECONDS);
         if (window == 0) {
-            faults.add("/allotment_window_s must be above 0");
+            faults.add("/allotment_window_s must be greater than 0");
         }
         return new AllotmentRule(Duration.ofMillis((long) (window * 1000)), number("allotment_slack", 0));
     }
@@ -117,7 +117,7 @@
             return usual;
         }
         if (!value.isNumber() || value.asDouble() < 0) {
-            faults.add("/" + field + " is no number from 0");
+            faults.add("/" + field + " must be a number of at least 0, got " + value);
             return usual;
         }
         return value.asDouble();
@@ -130,7 +130,7 @@
             return least;
         }
         if (!value.isIntegralNumber() || value.asInt() < least) {
-            faults.add("/store_members is no whole number from " + least + ", which the tolerated losses want");
+            faults.add("/store_members must be an integer of at least " + least + " for the tolerated losses, got " + value);
         }
         return value.asInt();
     }
@@ -141,7 +141,7 @@
             return DEFAULT_TOLERATED_LOSSES;
         }
         if (!value.isIntegralNumber() || value.asInt() < 0) {
-            faults.add("/tolerated_losses is no whole number from 0");
+            faults.add("/tolerated_losses must be an integer of at least 0, got " + value);
         }
         return Math.max(DEFAULT_TOLERATED_LOSSES, value.asInt());
     }
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/RoleSettingsReaderTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/RoleSettingsReaderTest.java
@@ -34,7 +34,7 @@
         String text = STORE.replace("10.0.0.1:7300", "nowhere").replace("\"zone\": \"a\",", "");
         StepException fault = expectThrows(StepException.class, () -> RoleSettingsReader.parse("settings", text));
         assertTrue(fault.getMessage().contains("/zone is missing"), fault.getMessage());
-        assertTrue(fault.getMessage().contains("/link: 'nowhere' is not IP:PORT"), fault.getMessage());
+        assertTrue(fault.getMessage().contains("/link: invalid address 'nowhere', expected IP:PORT"), fault.getMessage());
     }
 
     @Test
@@ -59,7 +59,7 @@
         StepException fault = expectThrows(
                 StepException.class,
                 () -> RoleSettingsReader.parse("settings", two.replace("losses\": 2", "losses\": -1")));
-        assertTrue(fault.getMessage().contains("/tolerated_losses is no whole number"), fault.getMessage());
+        assertTrue(fault.getMessage().contains("/tolerated_losses must be an integer of at least 0, got -1"), fault.getMessage());
     }
 
     /** Guards against accepting a store set that is too small for the tolerated losses. */
@@ -72,7 +72,7 @@
         StepException fault = expectThrows(
                 StepException.class,
                 () -> RoleSettingsReader.parse("settings", six.replace("members\": 6", "members\": 4")));
-        assertTrue(fault.getMessage().contains("/store_members is no whole number from 5"), fault.getMessage());
+        assertTrue(fault.getMessage().contains("/store_members must be an integer of at least 5 for the tolerated losses, got 4"), fault.getMessage());
     }
 
     @Test
@@ -81,6 +81,6 @@
         assertEquals(RoleSettingsReader.parse("settings", entry).allotmentRule().window(), Duration.ofMillis(2500));
         StepException fault = expectThrows(
                 StepException.class, () -> RoleSettingsReader.parse("settings", entry.replace("2.5", "0")));
-        assertTrue(fault.getMessage().contains("/allotment_window_s must be above 0"), fault.getMessage());
+        assertTrue(fault.getMessage().contains("/allotment_window_s must be greater than 0"), fault.getMessage());
     }
 }
