--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/CallerSpreadTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/CallerSpreadTest.java
@@ -45,7 +45,7 @@
                         .values()
                         .stream()
                         .allMatch(each -> each == named.size() / ZONES));
-        assertFalse(named.stream().anyMatch(each -> each.name().equals("n00")), "a hub is named");
+        assertFalse(named.stream().anyMatch(each -> each.name().equals("n00")), "a hub is advertised");
     }
 
     /**
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/KnowledgeAfterSilenceTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/KnowledgeAfterSilenceTest.java
@@ -111,8 +111,8 @@
         fleet.time.advance(silence);
         fleet.members.values().forEach(each -> {
             Duration age = each.following.get(ObjectKind.MANIFEST).age();
-            assertTrue(age.compareTo(silence) >= 0, each.identity.name() + " takes its knowledge for " + age);
-            assertEquals(each.silences, 2, "silences noticed, of two kinds");
+            assertTrue(age.compareTo(silence) >= 0, each.identity.name() + " has staleness " + age);
+            assertEquals(each.silences, 2, "outages detected, of two kinds");
         });
     }
 
@@ -129,7 +129,7 @@
         fleet.time.advance(Duration.ofSeconds(1));
         Duration age =
                 fleet.members.get("n00").following.get(ObjectKind.MANIFEST).age();
-        assertTrue(age.compareTo(Duration.ofSeconds(6)) >= 0, "age " + age);
+        assertTrue(age.compareTo(Duration.ofSeconds(6)) >= 0, "staleness " + age);
     }
 
     /**
@@ -146,7 +146,7 @@
         fleet.time.advance(Duration.ofSeconds(20));
         fleet.members
                 .values()
-                .forEach(each -> assertEquals(each.silences, 0, "silences noticed by " + each.identity.name()));
+                .forEach(each -> assertEquals(each.silences, 0, "outages detected by " + each.identity.name()));
         fleet.change(ObjectKind.MANIFEST, 1, Duration.ofMillis(1));
         assertFalse(fleet.someNodeIsLate(ObjectKind.MANIFEST));
     }
@@ -170,7 +170,7 @@
         // One check per second for each of two kinds. During an outage a node checks the less often the more nodes
         // precede it, which adds up to the logarithm of their number.
         assertTrue(quiet <= 2 * 1.2 * span.toSeconds(), "checks " + quiet);
-        assertTrue(silent <= 2 * 7 * span.toSeconds(), "checks in a silence " + silent);
+        assertTrue(silent <= 2 * 7 * span.toSeconds(), "checks during an outage " + silent);
     }
 
     private static List<Long> lateSeeds(LongPredicate late) {
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshBytesTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshBytesTest.java
@@ -36,7 +36,7 @@
                 .skip(NODES / 2)
                 .findFirst()
                 .orElseThrow();
-        assertTrue(median <= MOST_BYTES, median + " bytes a second");
+        assertTrue(median <= MOST_BYTES, median + " bytes/s");
         members.values().forEach(each -> assertTrue(each.mesh.hearsAnyone()));
     }
 }
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/NodeMeshAtScaleTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/NodeMeshAtScaleTest.java
@@ -68,7 +68,7 @@
         IntStream.range(0, 40).forEach(step -> {
             time.advance(Duration.ofMillis(100));
             int named = members.get("z1-07").mesh.readyNodes().size();
-            assertTrue(named >= NODES - 1, "named " + named + " after " + step + " steps");
+            assertTrue(named >= NODES - 1, "advertised " + named + " after " + step + " steps");
         });
         assertFalse(ready(members.get("z1-07")).contains("z0-00:80"));
         members.get("z0-00").cut = false;
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/PlatformCallsTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/PlatformCallsTest.java
@@ -28,7 +28,7 @@
         long before = fleet.platform.calls();
         fleet.change(ObjectKind.RUNNERS, CHANGES, Duration.ofSeconds(1));
         double each = (double) (fleet.platform.calls() - before) / CHANGES / NODES;
-        assertTrue(each <= MOST_CALLS, each + " calls a node and second");
+        assertTrue(each <= MOST_CALLS, each + " requests per node and second");
     }
 
     /** Guards against every node of a full mesh forwarding each change to every other one. */
@@ -42,7 +42,7 @@
         long changed = fleet.frames(Duration.ofMillis(320));
         // Three watching nodes send to eleven nodes each; a few nodes may send one additional status frame.
         long most = quiet + 3 * 11 + 3 * 11;
-        assertTrue(changed <= most, changed + " frames of " + most);
+        assertTrue(changed <= most, changed + " frames, at most " + most);
     }
 
     /** All nodes receive each change although few of them watch. */
