--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectFollower.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectFollower.java
@@ -230,7 +230,7 @@
         } catch (RuntimeException fault) {
             LOG.log(
                     Logger.Level.ERROR,
-                    LogLine.of("news_not_taken_in")
+                    LogLine.of("change_listener_failed")
                             .with("kind", kind)
                             .with("as_of", table.asOf())
                             .with("changes", news.size())
@@ -282,11 +282,11 @@
             // The watch should have delivered these changes, so its connection is dead.
             LOG.log(
                     Logger.Level.INFO,
-                    () -> LogLine.of("news_missed_by_watch")
+                    () -> LogLine.of("changes_missed_by_watch")
                             .with("kind", kind)
                             .with("as_of", table.asOf())
                             .with("changes", news.size())
-                            .with("watch_asked_ms_ago", millisSince(askedNanos))
+                            .with("watch_age_ms", millisSince(askedNanos))
                             .toString());
             tellNews(news);
             restart();
@@ -300,7 +300,7 @@
                 () -> LogLine.of("check_failed")
                         .with("kind", kind)
                         .with("reason", failure)
-                        .with("known_ms_ago", age().toMillis())
+                        .with("staleness_ms", age().toMillis())
                         .toString());
         if (failure == StoreFailure.ABSENT) {
             historyGone();
@@ -312,10 +312,10 @@
         if (age.noticeSilence()) {
             LOG.log(
                     Logger.Level.INFO,
-                    () -> LogLine.of("platform_silent")
+                    () -> LogLine.of("platform_outage_detected")
                             .with("kind", kind)
                             .with("as_of", table.asOf())
-                            .with("known_ms_ago", age().toMillis())
+                            .with("staleness_ms", age().toMillis())
                             .toString());
             listener.reached(false);
         }
@@ -324,11 +324,11 @@
     private void silenceEnded(long provedNanos) {
         LOG.log(
                 Logger.Level.INFO,
-                () -> LogLine.of("silence_ended")
+                () -> LogLine.of("outage_ended")
                         .with("kind", kind)
                         .with("as_of", table.asOf())
-                        .with("known_ms_ago", age().toMillis())
-                        .with("watch_asked_ms_ago", millisSince(askedNanos))
+                        .with("staleness_ms", age().toMillis())
+                        .with("watch_age_ms", millisSince(askedNanos))
                         .toString());
         listener.reached(true);
         if (askedNanos - provedNanos < 0) {
@@ -358,12 +358,12 @@
             answered = now;
             LOG.log(
                     Logger.Level.INFO,
-                    () -> LogLine.of(now ? "platform_regained" : "platform_lost")
+                    () -> LogLine.of(now ? "platform_reachable" : "platform_unreachable")
                             .with("kind", kind)
                             .with("as_of", table.asOf())
                             .with("reason", reason)
-                            .with("asked_ms_ago", millisSince(askedNanos))
-                            .with("known_ms_ago", age().toMillis())
+                            .with("request_age_ms", millisSince(askedNanos))
+                            .with("staleness_ms", age().toMillis())
                             .toString());
         }
     }
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Registry.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Registry.java
@@ -188,14 +188,14 @@
         try {
             Runner now = decoder.runner(change.name(), change.content());
             if (newestLives.isFormer(now)) {
-                log("runner_of_former_life", now, change);
+                log("runner_incarnation_outdated", now, change);
                 return;
             }
             newestLives.seen(now);
             lapsed.remove(change.name());
             runners.put(change.name(), now);
             if (!now.equals(before)) {
-                log(before == null ? "runner_known" : "runner_changed", now, change);
+                log(before == null ? "runner_added" : "runner_changed", now, change);
             }
         } catch (StepException fault) {
             unreadable(change, fault);
@@ -222,11 +222,11 @@
     private void removed(Runner runner, SharedObject change) {
         boolean mayLapse = !platformReached || returning;
         if (!mayLapse || runner.draining()) {
-            log("runner_gone", runner, change);
+            log("runner_removed", runner, change);
             return;
         }
         lapsed.put(runner.id(), runner);
-        log("runner_lapsed", runner, change);
+        log("runner_entry_expired", runner, change);
     }
 
     private void dropLapsed(long afterSilence) {
@@ -241,7 +241,7 @@
         lapsed.values()
                 .forEach(each -> LOG.log(
                         Logger.Level.INFO,
-                        line("runner_gone", each).with("lapsed", true).toString()));
+                        line("runner_removed", each).with("expired", true).toString()));
         lapsed.clear();
         onChange.run();
     }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
@@ -162,7 +162,7 @@
             boolean whole = ended.await(most, TimeUnit.MILLISECONDS);
             LOG.log(
                     Logger.Level.INFO,
-                    LogLine.of("drain_ended").with("whole", whole).toString());
+                    LogLine.of("drain_ended").with("complete", whole).toString());
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/KnowledgeExchange.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/KnowledgeExchange.java
@@ -209,7 +209,7 @@
         ToldObjects told = ToldObjects.read(in);
         FollowedKind own = followed.get(told.kind());
         if (own != null && told.newestChange() > own.newestChange()) {
-            logLearned("learned_from_peer", own, told);
+            logLearned("objects_from_peer", own, told);
             own.learn(told.changes(), told.newestChange(), completeNanos(told));
         }
     }
@@ -226,7 +226,7 @@
                         .with("own_as_of", own.asOf())
                         .with("as_of", told.changes().asOf())
                         .with("changes", told.changes().objects().size())
-                        .with("known_ms_ago", told.ageMillis())
+                        .with("staleness_ms", told.ageMillis())
                         .toString());
     }
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeMesh.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeMesh.java
@@ -131,7 +131,7 @@
             fleetUse.told(Map.of(identity.name(), NodeUse.NONE));
             LOG.log(
                     Logger.Level.INFO,
-                    () -> LogLine.of("peer_known")
+                    () -> LogLine.of("peer_added")
                             .with("peer", identity.name())
                             .with("link", identity.link())
                             .with("zone", identity.zone())
--- a/parsleydrift-tools/src/test/java/org/parsleydrift/tools/LogDigestTest.java
+++ b/parsleydrift-tools/src/test/java/org/parsleydrift/tools/LogDigestTest.java
@@ -17,7 +17,7 @@
             "event=request_ended request=q2 program=p1 outcome=answered cause=stream ms=300 at_ms=1800",
             "event=request_placed request=q3 program=p2 prompt=800 missing=800 at_ms=2200",
             "event=request_ended request=q3 program=p2 outcome=timeout cause=\"at the runner\" ms=900 at_ms=3000",
-            "event=runner_known runner=r1 at_ms=900",
+            "event=runner_added runner=r1 at_ms=900",
             "event=log_lines_left_out kind=x count=7 at_ms=3000",
             "no line of ours");
 
--- a/parsleydrift-tools/src/test/java/org/parsleydrift/tools/LogStoryTest.java
+++ b/parsleydrift-tools/src/test/java/org/parsleydrift/tools/LogStoryTest.java
@@ -16,11 +16,11 @@
     private static final List<LogStory.Line> LINES = List.of(
             new LogStory.Line("e1", "event=request_ended request=q1 program=p1 outcome=stream_cut at_ms=5000"),
             new LogStory.Line("e1", "event=request_placed request=q1 program=p1 runner=r7 at_ms=4900"),
-            new LogStory.Line("e2", "event=runner_gone runner=r7 at_ms=4950"),
-            new LogStory.Line("e2", "event=runner_gone runner=r8 at_ms=4951"),
+            new LogStory.Line("e2", "event=runner_removed runner=r7 at_ms=4950"),
+            new LogStory.Line("e2", "event=runner_removed runner=r8 at_ms=4951"),
             new LogStory.Line("s1", "event=store_set_adopted epoch=4 at_ms=3500"),
             new LogStory.Line("s1", "event=store_set_adopted epoch=3 at_ms=100"),
-            new LogStory.Line("e3", "event=platform_lost kind=RUNNERS at_ms=4800"),
+            new LogStory.Line("e3", "event=platform_unreachable kind=RUNNERS at_ms=4800"),
             new LogStory.Line("e1", "event=request_placed request=q11 program=p1 runner=r9 at_ms=4960"));
 
     private static List<String> story(String id) {
