--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
@@ -41,6 +41,7 @@
      * check.
      */
     static final Duration WATCH_WAIT = Duration.ofSeconds(24);
+
     private static final Duration RARE_WATCH_WAIT = Duration.ofSeconds(25);
     /** Cache time of the directory response, s. Short, so that callers soon leave a node that is shutting down. */
     private static final int KEEP_SECONDS = 1;
@@ -118,11 +119,11 @@
                 self,
                 new FleetUse(dispatcher, allotments),
                 this::ready,
-                stores::reachesStores,
+                stores::hasReachableQuorum,
                 parts.random,
                 Map.of(ObjectKind.RUNNERS, runners, ObjectKind.MANIFEST, manifests, ObjectKind.STORE_SET, storeSets),
                 nodes::follow);
-        calls.overPeers(mesh::peerThatReachesStores);
+        calls.setRelayFinder(mesh::peerThatReachesStores);
         callers = new CallerServer(
                 parts.threads,
                 parts.loop,
@@ -188,7 +189,7 @@
     }
 
     private boolean ready() {
-        boolean cutOff = !stores.reachesStores() && !mesh.hearsAnyone() && mesh.hasKnownPeers();
+        boolean cutOff = !stores.hasReachableQuorum() && !mesh.hearsAnyone() && mesh.hasKnownPeers();
         return !draining && registry.manifest().isPresent() && !cutOff;
     }
 
