--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectDecoder.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectDecoder.java
@@ -8,7 +8,7 @@
      * @param content encoded manifest
      * @return the manifest
      */
-    RoutingManifest manifest(byte[] content);
+    RoutingManifest decodeManifest(byte[] content);
 
     /**
      * Decodes the entry of a runner.
@@ -17,5 +17,5 @@
      * @param content encoded entry
      * @return the runner
      */
-    Runner runner(String name, byte[] content);
+    Runner decodeRunner(String name, byte[] content);
 }
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectFollower.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectWatcher.java
@@ -18,10 +18,11 @@
  * <p>Peers that watch the same kind exchange the staleness of their copies. When a copy becomes stale, a node requests
  * the changes without waiting, since a watch cannot be told from a dead connection while it is pending.
  */
-public final class ObjectFollower {
-    private static final Logger LOG = System.getLogger(ObjectFollower.class.getName());
+public final class ObjectWatcher {
+    private static final Logger LOG = System.getLogger(ObjectWatcher.class.getName());
     /** Short, because drains must be known to all nodes within two seconds. */
     private static final long FIRST_PAUSE_MILLIS = 60;
+
     private static final long LAST_PAUSE_MILLIS = 500;
     /**
      * Maximum delay before the watch is restarted after an outage, so that nodes do not restart their watches all at
@@ -59,7 +60,7 @@
      * @param table local copy, updated with each change
      * @param listener receives changes and reachability
      */
-    public ObjectFollower(
+    public ObjectWatcher(
             ObjectKind kind,
             SharedObjects objects,
             EventLoop loop,
@@ -84,7 +85,7 @@
          *
          * @param news the changes that were new to this node
          */
-        void changed(List<SharedObject> news);
+        void onChanges(List<SharedObject> news);
 
         /**
          * Called when an outage of the platform begins, because the staleness exceeds {@link KnowledgeAge#SILENCE}, and
@@ -92,7 +93,7 @@
          *
          * @param reached false when an outage begins, true when it ends
          */
-        void reached(boolean reached);
+        void onReachabilityChanged(boolean reached);
     }
 
     /** Lists the objects and starts watching. */
@@ -107,7 +108,7 @@
      * @param checkAfter staleness at which this node requests changes; differs between nodes, so that few of them do at
      *     a time
      */
-    public void lookAtAge(Duration checkAfter) {
+    public void checkIfStale(Duration checkAfter) {
         noticeSilence();
         long sinceCheck = loop.clock().nanos() - checkAskedNanos;
         if (listed && !checking && age().compareTo(checkAfter) >= 0 && sinceCheck >= checkAfter.toNanos()) {
@@ -226,7 +227,7 @@
      */
     private void tellNews(List<SharedObject> news) {
         try {
-            listener.changed(news);
+            listener.onChanges(news);
         } catch (RuntimeException fault) {
             LOG.log(
                     Logger.Level.ERROR,
@@ -317,7 +318,7 @@
                             .with("as_of", table.asOf())
                             .with("staleness_ms", age().toMillis())
                             .toString());
-            listener.reached(false);
+            listener.onReachabilityChanged(false);
         }
     }
 
@@ -330,7 +331,7 @@
                         .with("staleness_ms", age().toMillis())
                         .with("watch_age_ms", millisSince(askedNanos))
                         .toString());
-        listener.reached(true);
+        listener.onReachabilityChanged(true);
         if (askedNanos - provedNanos < 0) {
             replaceWatch(run);
         }
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Allotment.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Quota.java
@@ -6,16 +6,16 @@
  * @param ratePerSecond requests per second; 0 for no limit
  * @param burst requests allowed on top of the rate in any window
  */
-public record Allotment(double ratePerSecond, double burst) {
+public record Quota(double ratePerSecond, double burst) {
     /** No limit. */
-    public static final Allotment UNLIMITED = new Allotment(0, 0);
+    public static final Quota UNLIMITED = new Quota(0, 0);
 
     /**
      * Whether a limit is set.
      *
      * @return true if the requests of the team must be counted
      */
-    public boolean limited() {
+    public boolean isLimited() {
         return ratePerSecond > 0;
     }
 
@@ -25,7 +25,7 @@
      * @param windowSeconds length of the window, s
      * @return rate times window plus burst; meaningless without a limit
      */
-    public double most(double windowSeconds) {
+    public double maxRequests(double windowSeconds) {
         return ratePerSecond * windowSeconds + burst;
     }
 }
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Registry.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Registry.java
@@ -82,9 +82,9 @@
      *
      * @return ids of the incarnations
      */
-    public Set<String> lives() {
+    public Set<String> incarnations() {
         return Stream.concat(runners.values().stream(), lapsed.values().stream())
-                .map(Runner::life)
+                .map(Runner::incarnation)
                 .collect(Collectors.toSet());
     }
 
@@ -94,9 +94,9 @@
      * @param runner a runner
      * @return true if exactly this incarnation is known and not draining
      */
-    public boolean usable(Runner runner) {
+    public boolean isUsable(Runner runner) {
         Runner known = runners.getOrDefault(runner.id(), lapsed.get(runner.id()));
-        return known != null && known.life().equals(runner.life()) && !known.draining();
+        return known != null && known.incarnation().equals(runner.incarnation()) && !known.draining();
     }
 
     /**
@@ -104,7 +104,7 @@
      *
      * @param reached whether the platform answers this node or any of its peers
      */
-    public void platformReached(boolean reached) {
+    public void setPlatformReachable(boolean reached) {
         if (reached == platformReached) {
             return;
         }
@@ -124,7 +124,7 @@
      * @param current whether it was the latest at some time within the last {@link KnowledgeAge#SILENCE}; false during
      *     an outage
      */
-    public void manifestCurrent(boolean current) {
+    public void setManifestCurrent(boolean current) {
         manifestCurrent = current;
     }
 
@@ -133,7 +133,7 @@
      *
      * @return whether it was the latest at some time within the last {@link KnowledgeAge#SILENCE}
      */
-    public boolean manifestCurrent() {
+    public boolean isManifestCurrent() {
         return manifestCurrent;
     }
 
@@ -142,7 +142,7 @@
      *
      * @param news changed entries
      */
-    public void runnersChanged(List<SharedObject> news) {
+    public void applyRunnerChanges(List<SharedObject> news) {
         news.forEach(this::runnerChanged);
         onChange.run();
     }
@@ -152,10 +152,10 @@
      *
      * @param news changed objects
      */
-    public void manifestChanged(List<SharedObject> news) {
+    public void applyManifestChanges(List<SharedObject> news) {
         news.stream().filter(each -> !each.deleted()).forEach(each -> {
             try {
-                RoutingManifest read = decoder.manifest(each.content());
+                RoutingManifest read = decoder.decodeManifest(each.content());
                 manifest = read;
                 LOG.log(
                         Logger.Level.INFO,
@@ -186,7 +186,7 @@
             return;
         }
         try {
-            Runner now = decoder.runner(change.name(), change.content());
+            Runner now = decoder.decodeRunner(change.name(), change.content());
             if (newestLives.isFormer(now)) {
                 log("runner_incarnation_outdated", now, change);
                 return;
@@ -254,7 +254,7 @@
 
     private static LogLine line(String event, Runner runner) {
         return LogLine.of(event)
-                .with("runner", runner.life())
+                .with("runner", runner.incarnation())
                 .with("service", runner.service())
                 .with("address", runner.address())
                 .with("zone", runner.zone())
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Route.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Route.java
@@ -15,9 +15,9 @@
  * @param maxAttempts maximum number of runners that one request is sent to
  * @param priority priority of the requests; 0 is the highest
  * @param resumable whether an interrupted stream can continue on another runner
- * @param keepsConversation whether the turns of conversations are stored
+ * @param stateful whether the turns of conversations are stored
  * @param retention how long a turn is stored
- * @param open whether callers need no API key, if the manifest names teams
+ * @param anonymousAllowed whether callers need no API key, if the manifest names teams
  * @param destinations weighted services that serve the route
  */
 public record Route(
@@ -30,9 +30,9 @@
         int maxAttempts,
         int priority,
         boolean resumable,
-        boolean keepsConversation,
+        boolean stateful,
         Duration retention,
-        boolean open,
+        boolean anonymousAllowed,
         List<Destination> destinations) {
     /** Copies the list. */
     public Route {
@@ -44,7 +44,7 @@
      *
      * @return true for idempotent routes
      */
-    public boolean repeatable() {
+    public boolean isIdempotent() {
         return kind == CallKind.IDEMPOTENT;
     }
 
@@ -53,7 +53,7 @@
      *
      * @return true for streaming routes
      */
-    public boolean streaming() {
+    public boolean isStreaming() {
         return kind == CallKind.STREAMING;
     }
 
@@ -62,8 +62,8 @@
      *
      * @return true for idempotent routes and resumable streams
      */
-    public boolean mayRunTwice() {
-        return repeatable() || (streaming() && resumable);
+    public boolean isRetriable() {
+        return isIdempotent() || (isStreaming() && resumable);
     }
 
     /**
@@ -72,7 +72,7 @@
      * @param draw random number, at least 0 and below 1
      * @return name of the service
      */
-    public String destination(double draw) {
+    public String selectDestination(double draw) {
         int total = destinations.stream().mapToInt(Destination::weight).sum();
         double left = draw * total;
         for (Destination each : destinations) {
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Runner.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Runner.java
@@ -3,11 +3,11 @@
 /**
  * One incarnation of an upstream process. A restarted process has the id and address of its predecessor but none of its
  * state, and an address may be reassigned to another service. Load, health and cached prompts are therefore tracked by
- * {@link #life}, not by id.
+ * {@link #incarnation}, not by id.
  *
  * @param id id under which the process can be addressed; kept over restarts
- * @param bornMillis Unix time at which this incarnation started, ms; 0 if unknown
- * @param life id of this incarnation, unique over restarts
+ * @param startMillis Unix time at which this incarnation started, ms; 0 if unknown
+ * @param incarnation id of this incarnation, unique over restarts
  * @param service name of the service that it serves
  * @param address IP and port
  * @param zone its availability zone
@@ -16,8 +16,8 @@
  */
 public record Runner(
         String id,
-        long bornMillis,
-        String life,
+        long startMillis,
+        String incarnation,
         String service,
         String address,
         String zone,
@@ -27,7 +27,7 @@
      * Creates a runner; the id of its incarnation is derived from its id and start time.
      *
      * @param id id under which the process can be addressed; kept over restarts
-     * @param bornMillis Unix time at which this incarnation started, ms; 0 if unknown
+     * @param startMillis Unix time at which this incarnation started, ms; 0 if unknown
      * @param service name of the service that it serves
      * @param address IP and port
      * @param zone its availability zone
@@ -35,8 +35,8 @@
      * @param draining whether it is shutting down and must not receive new requests
      */
     public Runner(
-            String id, long bornMillis, String service, String address, String zone, int slots, boolean draining) {
-        this(id, bornMillis, bornMillis == 0 ? id : id + "@" + bornMillis, service, address, zone, slots, draining);
+            String id, long startMillis, String service, String address, String zone, int slots, boolean draining) {
+        this(id, startMillis, startMillis == 0 ? id : id + "@" + startMillis, service, address, zone, slots, draining);
     }
 
     /**
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Team.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Team.java
@@ -7,6 +7,6 @@
  *
  * @param name name of the team, forwarded to runners
  * @param priority priority of its requests, overriding that of their routes; 0 is the highest; empty to use the route's
- * @param allotment limit on the requests of the team
+ * @param quota limit on the requests of the team
  */
-public record Team(String name, OptionalInt priority, Allotment allotment) {}
+public record Team(String name, OptionalInt priority, Quota quota) {}
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/OutsideInterface.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/DeploymentPlugin.java
@@ -10,7 +10,7 @@
  * Plug-in for the protocols of the callers, runners and platform of one deployment; loaded with the service loader.
  * Contains no decisions.
  */
-public interface OutsideInterface {
+public interface DeploymentPlugin {
     /**
      * Returns the name that the settings select this plug-in by.
      *
@@ -32,7 +32,7 @@
      * @param address address of the object store
      * @return the client
      */
-    SharedObjects objects(HttpClient client, String address);
+    SharedObjects sharedObjects(HttpClient client, String address);
 
     /**
      * Returns the decoder for the contents of shared objects.
@@ -59,8 +59,8 @@
      * Encodes the response to callers that request the addresses of entry nodes.
      *
      * @param addresses addresses in order of preference
-     * @param keepSeconds how long callers may cache the response, s
+     * @param cacheSeconds how long callers may cache the response, s
      * @return response body, JSON
      */
-    String directoryAnswer(List<String> addresses, int keepSeconds);
+    String directoryResponse(List<String> addresses, int cacheSeconds);
 }
