--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/NewestLives.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/LatestIncarnations.java
@@ -7,23 +7,23 @@
  * Latest incarnation seen of each runner id. Entries of a runner arrive by several paths, so an entry of an earlier
  * incarnation may arrive after one of the current incarnation and must be ignored.
  */
-final class NewestLives {
-    private static final int MOST = 16_384;
+final class LatestIncarnations {
+    private static final int MAX_RUNNERS = 16_384;
 
-    private final Map<String, Long> bornMillis = new LinkedHashMap<>() {
+    private final Map<String, Long> startMillisById = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-            return size() > MOST;
+            return size() > MAX_RUNNERS;
         }
     };
 
-    void seen(Runner runner) {
-        bornMillis.merge(runner.id(), runner.startMillis(), Math::max);
+    void record(Runner runner) {
+        startMillisById.merge(runner.id(), runner.startMillis(), Math::max);
     }
 
-    boolean isFormer(Runner runner) {
-        return runner.startMillis() < bornMillis.getOrDefault(runner.id(), 0L);
+    boolean isOutdated(Runner runner) {
+        return runner.startMillis() < startMillisById.getOrDefault(runner.id(), 0L);
     }
 }
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectWatcher.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectWatcher.java
@@ -21,32 +21,32 @@
 public final class ObjectWatcher {
     private static final Logger LOG = System.getLogger(ObjectWatcher.class.getName());
     /** Short, because drains must be known to all nodes within two seconds. */
-    private static final long FIRST_PAUSE_MILLIS = 60;
+    private static final long INITIAL_BACKOFF_MILLIS = 60;
 
-    private static final long LAST_PAUSE_MILLIS = 500;
+    private static final long MAX_BACKOFF_MILLIS = 500;
     /**
      * Maximum delay before the watch is restarted after an outage, so that nodes do not restart their watches all at
      * once.
      */
-    private static final long REWATCH_SPREAD_MILLIS = 300;
+    private static final long MAX_RESTART_DELAY_MILLIS = 300;
 
     private final ObjectKind kind;
     private final SharedObjects objects;
     private final EventLoop loop;
     private final RandomGenerator random;
-    private final Duration longestWait;
+    private final Duration maxWatchWait;
     private final Listener listener;
     private final VersionedTable table;
-    private final KnowledgeAge age;
-    private long pauseMillis = FIRST_PAUSE_MILLIS;
+    private final StalenessTracker stalenessTracker;
+    private long backoffMillis = INITIAL_BACKOFF_MILLIS;
     private boolean listed;
-    private boolean answered = true;
-    private boolean following = true;
-    private boolean resting;
-    private long run;
-    private long askedNanos;
+    private boolean platformReachable = true;
+    private boolean watching = true;
+    private boolean paused;
+    private long currentGeneration;
+    private long requestNanos;
     private boolean checking;
-    private long checkAskedNanos;
+    private long checkRequestNanos;
 
     /**
      * Creates a watcher; {@link #start} starts it.
@@ -55,7 +55,7 @@
      * @param objects source of the objects
      * @param loop event loop that runs the watcher
      * @param random source of jitter for retries and watches
-     * @param longestWait maximum duration of a watch; each watch takes a random time between half of it and all of it,
+     * @param maxWatchWait maximum duration of a watch; each watch takes a random time between half of it and all of it,
      *     so that nodes do not renew their watches all at once
      * @param table local copy, updated with each change
      * @param listener receives changes and reachability
@@ -65,17 +65,17 @@
             SharedObjects objects,
             EventLoop loop,
             RandomGenerator random,
-            Duration longestWait,
+            Duration maxWatchWait,
             VersionedTable table,
             Listener listener) {
         this.kind = kind;
         this.objects = objects;
         this.loop = loop;
         this.random = random;
-        this.longestWait = longestWait;
+        this.maxWatchWait = maxWatchWait;
         this.table = table;
         this.listener = listener;
-        this.age = new KnowledgeAge(loop.clock());
+        this.stalenessTracker = new StalenessTracker(loop.clock());
     }
 
     /** Receives changes and reachability of the platform, on the event loop of the watcher. */
@@ -83,36 +83,36 @@
         /**
          * Called after changes were applied to the local copy.
          *
-         * @param news the changes that were new to this node
+         * @param changes the changes that were new to this node
          */
-        void onChanges(List<SharedObject> news);
+        void onChanges(List<SharedObject> changes);
 
         /**
-         * Called when an outage of the platform begins, because the staleness exceeds {@link KnowledgeAge#SILENCE}, and
+         * Called when an outage of the platform begins, because the staleness exceeds {@link StalenessTracker#MAX_STALENESS}, and
          * when it ends.
          *
-         * @param reached false when an outage begins, true when it ends
+         * @param reachable false when an outage begins, true when it ends
          */
-        void onReachabilityChanged(boolean reached);
+        void onReachabilityChanged(boolean reachable);
     }
 
     /** Lists the objects and starts watching. */
     public void start() {
-        next(++run);
+        requestNext(++currentGeneration);
     }
 
     /**
      * Detects an outage of the platform, and requests changes if the local copy is stale. Call this several times
      * within that staleness.
      *
-     * @param checkAfter staleness at which this node requests changes; differs between nodes, so that few of them do at
+     * @param maxStaleness staleness at which this node requests changes; differs between nodes, so that few of them do at
      *     a time
      */
-    public void checkIfStale(Duration checkAfter) {
-        noticeSilence();
-        long sinceCheck = loop.clock().nanos() - checkAskedNanos;
-        if (listed && !checking && age().compareTo(checkAfter) >= 0 && sinceCheck >= checkAfter.toNanos()) {
-            check();
+    public void checkIfStale(Duration maxStaleness) {
+        detectOutage();
+        long sinceCheck = loop.clock().nanos() - checkRequestNanos;
+        if (listed && !checking && staleness().compareTo(maxStaleness) >= 0 && sinceCheck >= maxStaleness.toNanos()) {
+            checkForChanges();
         }
     }
 
@@ -120,12 +120,12 @@
      * Enables or disables watching. A pending watch continues to its end, and the initial list is requested in any
      * case.
      *
-     * @param watches true to watch; false to rely on the changes that peers forward
+     * @param enabled true to watch; false to rely on the changes that peers forward
      */
-    public void follow(boolean watches) {
-        following = watches;
-        if (watches && resting) {
-            next(++run);
+    public void setWatching(boolean enabled) {
+        watching = enabled;
+        if (enabled && paused) {
+            requestNext(++currentGeneration);
         }
     }
 
@@ -134,7 +134,7 @@
      * dead or being rejected.
      */
     public void restart() {
-        next(++run);
+        requestNext(++currentGeneration);
     }
 
     /**
@@ -142,8 +142,8 @@
      *
      * @return time since the latest answered request was sent, by this node or by a peer whose copy is no newer
      */
-    public Duration age() {
-        return age.age();
+    public Duration staleness() {
+        return stalenessTracker.staleness();
     }
 
     /**
@@ -151,8 +151,8 @@
      *
      * @return result of the latest completed request; true before the first
      */
-    public boolean answered() {
-        return answered;
+    public boolean isPlatformReachable() {
+        return platformReachable;
     }
 
     /**
@@ -160,8 +160,8 @@
      *
      * @return time since the latest answered request of this node was sent; empty before the first answer
      */
-    public Optional<Duration> answeredAge() {
-        return age.answeredAge();
+    public Optional<Duration> ownStaleness() {
+        return stalenessTracker.ownStaleness();
     }
 
     /**
@@ -169,55 +169,55 @@
      *
      * @param nanos time on the clock of this loop at which the peer sent its request, ns
      */
-    public void completeAt(long nanos) {
-        if (age.completeAt(nanos)) {
-            silenceEnded(nanos);
+    public void recordCompleteAt(long nanos) {
+        if (stalenessTracker.recordCompleteAt(nanos)) {
+            endOutage(nanos);
         }
     }
 
-    private void answeredWhatWasAsked(long nanos) {
-        if (age.answered(nanos)) {
-            silenceEnded(nanos);
+    private void recordAnswer(long nanos) {
+        if (stalenessTracker.recordAnswer(nanos)) {
+            endOutage(nanos);
         }
     }
 
-    private void next(long mine) {
-        if (mine != run) {
+    private void requestNext(long generation) {
+        if (generation != currentGeneration) {
             return;
         }
-        resting = listed && !following;
-        if (resting) {
+        paused = listed && !watching;
+        if (paused) {
             return;
         }
-        askedNanos = loop.clock().nanos();
-        var asked = listed ? objects.watch(kind, table.asOf(), nextWait()) : objects.list(kind);
-        boolean list = !listed;
-        asked.whenComplete((changes, failure) -> loop.execute(() -> {
-            if (mine != run) {
+        requestNanos = loop.clock().nanos();
+        var response = listed ? objects.watch(kind, table.asOf(), randomWatchWait()) : objects.list(kind);
+        boolean isList = !listed;
+        response.whenComplete((changes, failure) -> loop.execute(() -> {
+            if (generation != currentGeneration) {
                 return;
             }
             if (failure == null) {
-                took(list, changes);
-                next(mine);
+                applyResponse(isList, changes);
+                requestNext(generation);
             } else {
-                failed(StoreException.of(failure), mine);
+                retryAfterFailure(StoreException.of(failure), generation);
             }
         }));
     }
 
-    private Duration nextWait() {
-        long most = longestWait.toMillis();
-        return Duration.ofMillis(most / 2 + random.nextLong(most / 2 + 1));
+    private Duration randomWatchWait() {
+        long maxMillis = maxWatchWait.toMillis();
+        return Duration.ofMillis(maxMillis / 2 + random.nextLong(maxMillis / 2 + 1));
     }
 
-    private void took(boolean list, ObjectChanges changes) {
-        var news = list ? table.replace(changes) : table.apply(changes);
+    private void applyResponse(boolean isList, ObjectChanges changes) {
+        var applied = isList ? table.replace(changes) : table.apply(changes);
         listed = true;
-        pauseMillis = FIRST_PAUSE_MILLIS;
-        tell(true, "answered");
-        answeredWhatWasAsked(askedNanos);
-        if (list || !news.isEmpty()) {
-            tellNews(news);
+        backoffMillis = INITIAL_BACKOFF_MILLIS;
+        setPlatformReachable(true, "answered");
+        recordAnswer(requestNanos);
+        if (isList || !applied.isEmpty()) {
+            notifyChanges(applied);
         }
     }
 
@@ -225,32 +225,32 @@
      * Contains failures of the listener: entries written by other programs may hold anything, and must not stop the
      * watch.
      */
-    private void tellNews(List<SharedObject> news) {
+    private void notifyChanges(List<SharedObject> changes) {
         try {
-            listener.onChanges(news);
+            listener.onChanges(changes);
         } catch (RuntimeException fault) {
             LOG.log(
                     Logger.Level.ERROR,
                     LogLine.of("change_listener_failed")
                             .with("kind", kind)
                             .with("as_of", table.asOf())
-                            .with("changes", news.size())
+                            .with("changes", changes.size())
                             .failure(fault)
                             .toString());
         }
     }
 
-    private void failed(StoreFailure failure, long mine) {
+    private void retryAfterFailure(StoreFailure failure, long generation) {
         if (failure == StoreFailure.ABSENT) {
-            historyGone();
+            relistAfterLostHistory();
         }
-        notAnswered(askedNanos, failure.toString());
-        long pause = pauseMillis / 2 + random.nextLong(pauseMillis);
-        pauseMillis = Math.min(LAST_PAUSE_MILLIS, pauseMillis * 2);
-        loop.schedule(Duration.ofMillis(pause), () -> next(mine));
+        recordFailure(requestNanos, failure.toString());
+        long delayMillis = backoffMillis / 2 + random.nextLong(backoffMillis);
+        backoffMillis = Math.min(MAX_BACKOFF_MILLIS, backoffMillis * 2);
+        loop.schedule(Duration.ofMillis(delayMillis), () -> requestNext(generation));
     }
 
-    private void historyGone() {
+    private void relistAfterLostHistory() {
         listed = false;
         LOG.log(
                 Logger.Level.INFO,
@@ -260,111 +260,111 @@
                         .toString());
     }
 
-    private void check() {
-        long asked = loop.clock().nanos();
-        checkAskedNanos = asked;
+    private void checkForChanges() {
+        long checkNanos = loop.clock().nanos();
+        checkRequestNanos = checkNanos;
         checking = true;
         objects.changes(kind, table.asOf())
                 .whenComplete((changes, failure) -> loop.execute(() -> {
                     checking = false;
                     if (failure == null) {
-                        checked(changes, asked);
+                        applyCheckResponse(changes, checkNanos);
                     } else {
-                        checkFailed(StoreException.of(failure), asked);
+                        handleCheckFailure(StoreException.of(failure), checkNanos);
                     }
                 }));
     }
 
-    private void checked(ObjectChanges changes, long asked) {
-        tell(true, "check answered");
-        List<SharedObject> news = table.apply(changes);
-        answeredWhatWasAsked(asked);
-        if (!news.isEmpty()) {
+    private void applyCheckResponse(ObjectChanges changes, long checkNanos) {
+        setPlatformReachable(true, "check answered");
+        List<SharedObject> missed = table.apply(changes);
+        recordAnswer(checkNanos);
+        if (!missed.isEmpty()) {
             // The watch should have delivered these changes, so its connection is dead.
             LOG.log(
                     Logger.Level.INFO,
                     () -> LogLine.of("changes_missed_by_watch")
                             .with("kind", kind)
                             .with("as_of", table.asOf())
-                            .with("changes", news.size())
-                            .with("watch_age_ms", millisSince(askedNanos))
+                            .with("changes", missed.size())
+                            .with("watch_age_ms", millisSince(requestNanos))
                             .toString());
-            tellNews(news);
+            notifyChanges(missed);
             restart();
         }
     }
 
-    private void checkFailed(StoreFailure failure, long asked) {
-        notAnswered(asked, "check " + failure);
+    private void handleCheckFailure(StoreFailure failure, long checkNanos) {
+        recordFailure(checkNanos, "check " + failure);
         LOG.log(
                 Logger.Level.INFO,
                 () -> LogLine.of("check_failed")
                         .with("kind", kind)
                         .with("reason", failure)
-                        .with("staleness_ms", age().toMillis())
+                        .with("staleness_ms", staleness().toMillis())
                         .toString());
         if (failure == StoreFailure.ABSENT) {
-            historyGone();
+            relistAfterLostHistory();
             restart();
         }
     }
 
-    private void noticeSilence() {
-        if (age.noticeSilence()) {
+    private void detectOutage() {
+        if (stalenessTracker.detectOutage()) {
             LOG.log(
                     Logger.Level.INFO,
                     () -> LogLine.of("platform_outage_detected")
                             .with("kind", kind)
                             .with("as_of", table.asOf())
-                            .with("staleness_ms", age().toMillis())
+                            .with("staleness_ms", staleness().toMillis())
                             .toString());
             listener.onReachabilityChanged(false);
         }
     }
 
-    private void silenceEnded(long provedNanos) {
+    private void endOutage(long completeNanos) {
         LOG.log(
                 Logger.Level.INFO,
                 () -> LogLine.of("outage_ended")
                         .with("kind", kind)
                         .with("as_of", table.asOf())
-                        .with("staleness_ms", age().toMillis())
-                        .with("watch_age_ms", millisSince(askedNanos))
+                        .with("staleness_ms", staleness().toMillis())
+                        .with("watch_age_ms", millisSince(requestNanos))
                         .toString());
         listener.onReachabilityChanged(true);
-        if (askedNanos - provedNanos < 0) {
-            replaceWatch(run);
+        if (requestNanos - completeNanos < 0) {
+            scheduleRestart(currentGeneration);
         }
     }
 
     /** Restarts a watch that was sent during the outage and may never be answered. */
-    private void replaceWatch(long askedRun) {
-        loop.schedule(Duration.ofMillis(random.nextLong(REWATCH_SPREAD_MILLIS)), () -> {
-            if (run == askedRun) {
+    private void scheduleRestart(long generation) {
+        loop.schedule(Duration.ofMillis(random.nextLong(MAX_RESTART_DELAY_MILLIS)), () -> {
+            if (currentGeneration == generation) {
                 restart();
             }
         });
     }
 
     /** Ignores the failure of a request that was sent before an answered one. */
-    private void notAnswered(long asked, String reason) {
-        if (age.answeredBefore(asked)) {
-            tell(false, reason);
+    private void recordFailure(long failedRequestNanos, String reason) {
+        if (stalenessTracker.hasNoAnswerSince(failedRequestNanos)) {
+            setPlatformReachable(false, reason);
         }
     }
 
     /** Records whether the platform answers this node, and logs each transition. */
-    private void tell(boolean now, String reason) {
-        if (now != answered) {
-            answered = now;
+    private void setPlatformReachable(boolean reachable, String reason) {
+        if (reachable != platformReachable) {
+            platformReachable = reachable;
             LOG.log(
                     Logger.Level.INFO,
-                    () -> LogLine.of(now ? "platform_reachable" : "platform_unreachable")
+                    () -> LogLine.of(reachable ? "platform_reachable" : "platform_unreachable")
                             .with("kind", kind)
                             .with("as_of", table.asOf())
                             .with("reason", reason)
-                            .with("request_age_ms", millisSince(askedNanos))
-                            .with("staleness_ms", age().toMillis())
+                            .with("request_age_ms", millisSince(requestNanos))
+                            .with("staleness_ms", staleness().toMillis())
                             .toString());
         }
     }
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Registry.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Registry.java
@@ -21,18 +21,18 @@
      * Entries expire while the platform is down, and live runners write them again within two seconds of its return. A
      * runner that leaves later must not receive requests for longer than two seconds.
      */
-    private static final Duration LAPSE_GRACE = Duration.ofMillis(1900);
+    private static final Duration EXPIRY_GRACE = Duration.ofMillis(1900);
 
     private final EventLoop loop;
     private final ObjectDecoder decoder;
     private final Map<String, Runner> runners = new HashMap<>();
-    private final Map<String, Runner> lapsed = new HashMap<>();
-    private final NewestLives newestLives = new NewestLives();
+    private final Map<String, Runner> expired = new HashMap<>();
+    private final LatestIncarnations latestIncarnations = new LatestIncarnations();
     private Runnable onChange = () -> {};
     private RoutingManifest manifest;
-    private boolean platformReached = true;
-    private boolean returning;
-    private long silences;
+    private boolean platformReachable = true;
+    private boolean inExpiryGrace;
+    private long outages;
     private boolean manifestCurrent = true;
 
     /**
@@ -71,7 +71,7 @@
      * @return all known runners of the service that are not draining
      */
     public List<Runner> runners(String service) {
-        return Stream.concat(runners.values().stream(), lapsed.values().stream())
+        return Stream.concat(runners.values().stream(), expired.values().stream())
                 .filter(each -> each.service().equals(service) && !each.draining())
                 .toList();
     }
@@ -83,7 +83,7 @@
      * @return ids of the incarnations
      */
     public Set<String> incarnations() {
-        return Stream.concat(runners.values().stream(), lapsed.values().stream())
+        return Stream.concat(runners.values().stream(), expired.values().stream())
                 .map(Runner::incarnation)
                 .collect(Collectors.toSet());
     }
@@ -95,33 +95,33 @@
      * @return true if exactly this incarnation is known and not draining
      */
     public boolean isUsable(Runner runner) {
-        Runner known = runners.getOrDefault(runner.id(), lapsed.get(runner.id()));
+        Runner known = runners.getOrDefault(runner.id(), expired.get(runner.id()));
         return known != null && known.incarnation().equals(runner.incarnation()) && !known.draining();
     }
 
     /**
      * Records the beginning or the end of an outage of the platform.
      *
-     * @param reached whether the platform answers this node or any of its peers
+     * @param reachable whether the platform answers this node or any of its peers
      */
-    public void setPlatformReachable(boolean reached) {
-        if (reached == platformReached) {
+    public void setPlatformReachable(boolean reachable) {
+        if (reachable == platformReachable) {
             return;
         }
-        platformReached = reached;
-        if (reached) {
-            long ended = silences;
-            returning = true;
-            loop.schedule(LAPSE_GRACE, () -> dropLapsed(ended));
+        platformReachable = reachable;
+        if (reachable) {
+            long outage = outages;
+            inExpiryGrace = true;
+            loop.schedule(EXPIRY_GRACE, () -> dropExpired(outage));
         } else {
-            silences++;
+            outages++;
         }
     }
 
     /**
      * Records whether the manifest is current.
      *
-     * @param current whether it was the latest at some time within the last {@link KnowledgeAge#SILENCE}; false during
+     * @param current whether it was the latest at some time within the last {@link StalenessTracker#MAX_STALENESS}; false during
      *     an outage
      */
     public void setManifestCurrent(boolean current) {
@@ -131,7 +131,7 @@
     /**
      * Whether the manifest is current.
      *
-     * @return whether it was the latest at some time within the last {@link KnowledgeAge#SILENCE}
+     * @return whether it was the latest at some time within the last {@link StalenessTracker#MAX_STALENESS}
      */
     public boolean isManifestCurrent() {
         return manifestCurrent;
@@ -140,27 +140,27 @@
     /**
      * Applies changes to the entries of runners.
      *
-     * @param news changed entries
+     * @param changes changed entries
      */
-    public void applyRunnerChanges(List<SharedObject> news) {
-        news.forEach(this::runnerChanged);
+    public void applyRunnerChanges(List<SharedObject> changes) {
+        changes.forEach(this::applyRunnerChange);
         onChange.run();
     }
 
     /**
      * Applies changes to the manifest. An unreadable manifest leaves the previous one in force.
      *
-     * @param news changed objects
+     * @param changes changed objects
      */
-    public void applyManifestChanges(List<SharedObject> news) {
-        news.stream().filter(each -> !each.deleted()).forEach(each -> {
+    public void applyManifestChanges(List<SharedObject> changes) {
+        changes.stream().filter(each -> !each.deleted()).forEach(each -> {
             try {
-                RoutingManifest read = decoder.decodeManifest(each.content());
-                manifest = read;
+                RoutingManifest decoded = decoder.decodeManifest(each.content());
+                manifest = decoded;
                 LOG.log(
                         Logger.Level.INFO,
                         () -> LogLine.of("manifest_in_force")
-                                .with("version", read.version())
+                                .with("version", decoded.version())
                                 .with("revision", each.revision())
                                 .toString());
             } catch (StepException fault) {
@@ -176,29 +176,29 @@
         onChange.run();
     }
 
-    private void runnerChanged(SharedObject change) {
+    private void applyRunnerChange(SharedObject change) {
         Runner before = runners.get(change.name());
         if (change.deleted()) {
             runners.remove(change.name());
             if (before != null) {
-                removed(before, change);
+                removeOrExpire(before, change);
             }
             return;
         }
         try {
             Runner now = decoder.decodeRunner(change.name(), change.content());
-            if (newestLives.isFormer(now)) {
+            if (latestIncarnations.isOutdated(now)) {
                 log("runner_incarnation_outdated", now, change);
                 return;
             }
-            newestLives.seen(now);
-            lapsed.remove(change.name());
+            latestIncarnations.record(now);
+            expired.remove(change.name());
             runners.put(change.name(), now);
             if (!now.equals(before)) {
                 log(before == null ? "runner_added" : "runner_changed", now, change);
             }
         } catch (StepException fault) {
-            unreadable(change, fault);
+            removeUnreadable(change, fault);
         }
     }
 
@@ -206,9 +206,9 @@
      * Removes a runner whose entry is unreadable. Its writer is unknown, and the former address may belong to another
      * process.
      */
-    private void unreadable(SharedObject change, StepException fault) {
+    private void removeUnreadable(SharedObject change, StepException fault) {
         boolean known = runners.remove(change.name()) != null;
-        lapsed.remove(change.name());
+        expired.remove(change.name());
         LOG.log(
                 Logger.Level.WARNING,
                 LogLine.of("runner_unreadable")
@@ -219,40 +219,44 @@
                         .toString());
     }
 
-    private void removed(Runner runner, SharedObject change) {
-        boolean mayLapse = !platformReached || returning;
-        if (!mayLapse || runner.draining()) {
+    private void removeOrExpire(Runner runner, SharedObject change) {
+        boolean mayHaveExpired = !platformReachable || inExpiryGrace;
+        if (!mayHaveExpired || runner.draining()) {
             log("runner_removed", runner, change);
             return;
         }
-        lapsed.put(runner.id(), runner);
+        expired.put(runner.id(), runner);
         log("runner_entry_expired", runner, change);
     }
 
-    private void dropLapsed(long afterSilence) {
-        if (afterSilence != silences) {
+    private void dropExpired(long outage) {
+        if (outage != outages) {
             // Another outage has begun since; its end schedules its own task.
             return;
         }
-        returning = false;
-        if (lapsed.isEmpty()) {
+        inExpiryGrace = false;
+        if (expired.isEmpty()) {
             return;
         }
-        lapsed.values()
+        expired.values()
                 .forEach(each -> LOG.log(
                         Logger.Level.INFO,
-                        line("runner_removed", each).with("expired", true).toString()));
-        lapsed.clear();
+                        runnerEvent("runner_removed", each)
+                                .with("expired", true)
+                                .toString()));
+        expired.clear();
         onChange.run();
     }
 
     private static void log(String event, Runner runner, SharedObject change) {
         LOG.log(
                 Logger.Level.INFO,
-                () -> line(event, runner).with("revision", change.revision()).toString());
+                () -> runnerEvent(event, runner)
+                        .with("revision", change.revision())
+                        .toString());
     }
 
-    private static LogLine line(String event, Runner runner) {
+    private static LogLine runnerEvent(String event, Runner runner) {
         return LogLine.of(event)
                 .with("runner", runner.incarnation())
                 .with("service", runner.service())
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Route.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Route.java
@@ -69,12 +69,12 @@
     /**
      * Selects a destination at random by weight.
      *
-     * @param draw random number, at least 0 and below 1
+     * @param random random number, at least 0 and below 1
      * @return name of the service
      */
-    public String selectDestination(double draw) {
+    public String selectDestination(double random) {
         int total = destinations.stream().mapToInt(Destination::weight).sum();
-        double left = draw * total;
+        double left = random * total;
         for (Destination each : destinations) {
             left -= each.weight();
             if (left < 0) {
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/RunnerKey.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/RunnerKey.java
@@ -11,10 +11,10 @@
     /**
      * Returns the key of an incarnation; all nodes compute the same key.
      *
-     * @param life id of the incarnation
+     * @param incarnation id of the incarnation
      * @return its key
      */
-    public static long of(String life) {
-        return HASH.hashChars(life);
+    public static long of(String incarnation) {
+        return HASH.hashChars(incarnation);
     }
 }
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/KnowledgeAge.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/StalenessTracker.java
@@ -10,27 +10,27 @@
  * current: a dead connection looks like a watch without changes. Only an answered request does, as of the time when the
  * request was sent. The request may be this node's own or that of a peer whose copy is no newer.
  */
-public final class KnowledgeAge {
+public final class StalenessTracker {
     /**
      * Staleness above which the local copy is not considered current. Configuration changes and drains must take effect
      * within this time after the platform has acknowledged them.
      */
-    public static final Duration SILENCE = Duration.ofSeconds(2);
+    public static final Duration MAX_STALENESS = Duration.ofSeconds(2);
 
     private final RuntimeClock clock;
-    private final long madeNanos;
+    private final long createdNanos;
     private OptionalLong completeNanos = OptionalLong.empty();
-    private OptionalLong answeredNanos = OptionalLong.empty();
-    private boolean silent;
+    private OptionalLong ownCompleteNanos = OptionalLong.empty();
+    private boolean outage;
 
     /**
      * Creates a tracker for a copy that has not been read yet.
      *
      * @param clock clock that staleness is measured with
      */
-    public KnowledgeAge(RuntimeClock clock) {
+    public StalenessTracker(RuntimeClock clock) {
         this.clock = clock;
-        madeNanos = clock.nanos();
+        createdNanos = clock.nanos();
     }
 
     /**
@@ -39,8 +39,8 @@
      * @return time since the copy was known to be complete; before the first answer, time since this tracker was
      *     created
      */
-    public Duration age() {
-        return since(completeNanos.orElse(madeNanos));
+    public Duration staleness() {
+        return elapsedSince(completeNanos.orElse(createdNanos));
     }
 
     /**
@@ -49,8 +49,10 @@
      *
      * @return time since the latest answered own request was sent; empty before the first answer
      */
-    public Optional<Duration> answeredAge() {
-        return answeredNanos.isPresent() ? Optional.of(since(answeredNanos.getAsLong())) : Optional.empty();
+    public Optional<Duration> ownStaleness() {
+        return ownCompleteNanos.isPresent()
+                ? Optional.of(elapsedSince(ownCompleteNanos.getAsLong()))
+                : Optional.empty();
     }
 
     /**
@@ -59,30 +61,30 @@
      * @param nanos time on the clock, ns
      * @return true if every answered request was sent before that time
      */
-    boolean answeredBefore(long nanos) {
-        return answeredNanos.isEmpty() || answeredNanos.getAsLong() - nanos < 0;
+    boolean hasNoAnswerSince(long nanos) {
+        return ownCompleteNanos.isEmpty() || ownCompleteNanos.getAsLong() - nanos < 0;
     }
 
     /**
-     * Detects an outage when the staleness exceeds {@link #SILENCE}.
+     * Detects an outage when the staleness exceeds {@link #MAX_STALENESS}.
      *
      * @return true if an outage begins with this call
      */
-    boolean noticeSilence() {
-        boolean begins = !silent && completeNanos.isPresent() && age().compareTo(SILENCE) > 0;
-        silent |= begins;
+    boolean detectOutage() {
+        boolean begins = !outage && completeNanos.isPresent() && staleness().compareTo(MAX_STALENESS) > 0;
+        outage |= begins;
         return begins;
     }
 
     /**
      * Records that a request of this node was answered.
      *
-     * @param askedNanos time on the clock at which the request was sent, ns
+     * @param requestNanos time on the clock at which the request was sent, ns
      * @return true if an outage ends with this call
      */
-    boolean answered(long askedNanos) {
-        answeredNanos = later(answeredNanos, askedNanos);
-        return completeAt(askedNanos);
+    boolean recordAnswer(long requestNanos) {
+        ownCompleteNanos = latest(ownCompleteNanos, requestNanos);
+        return recordCompleteAt(requestNanos);
     }
 
     /**
@@ -91,18 +93,18 @@
      * @param nanos time on the clock, ns
      * @return true if an outage ends with this call
      */
-    boolean completeAt(long nanos) {
-        completeNanos = later(completeNanos, nanos);
-        boolean ends = silent && age().compareTo(SILENCE) <= 0;
-        silent &= !ends;
+    boolean recordCompleteAt(long nanos) {
+        completeNanos = latest(completeNanos, nanos);
+        boolean ends = outage && staleness().compareTo(MAX_STALENESS) <= 0;
+        outage &= !ends;
         return ends;
     }
 
-    private Duration since(long nanos) {
+    private Duration elapsedSince(long nanos) {
         return Duration.ofNanos(clock.nanos() - nanos);
     }
 
-    private static OptionalLong later(OptionalLong known, long nanos) {
+    private static OptionalLong latest(OptionalLong known, long nanos) {
         return known.isPresent() && nanos - known.getAsLong() <= 0 ? known : OptionalLong.of(nanos);
     }
 }
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/TeamKeys.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/TeamKeys.java
@@ -12,7 +12,7 @@
 /** Immutable index of teams by API key. Errors name the team and never the key, so that keys stay out of logs. */
 public final class TeamKeys {
     /** Maximum length of a key, characters; longer keys are rejected without hashing them. */
-    private static final int LONGEST_KEY = 1024;
+    private static final int MAX_KEY_LENGTH = 1024;
 
     private final Map<String, Team> byKey;
 
@@ -63,12 +63,12 @@
      * @return the team; empty if no team holds the key
      */
     public Optional<Team> team(String key) {
-        return key.length() > LONGEST_KEY ? Optional.empty() : Optional.ofNullable(byKey.get(key));
+        return key.length() > MAX_KEY_LENGTH ? Optional.empty() : Optional.ofNullable(byKey.get(key));
     }
 
-    private static void check(boolean sound, String fault) {
-        if (!sound) {
-            throw new StepException(Step.PARSE, "manifest", fault);
+    private static void check(boolean valid, String message) {
+        if (!valid) {
+            throw new StepException(Step.PARSE, "manifest", message);
         }
     }
 }
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/VersionedTable.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/VersionedTable.java
@@ -14,7 +14,7 @@
 public final class VersionedTable {
     private final Map<String, SharedObject> objects = new HashMap<>();
     private long asOf;
-    private long newestChange;
+    private long latestRevision;
 
     /**
      * Returns the revision up to which the table is complete.
@@ -31,8 +31,8 @@
      *
      * @return revision; 0 before the first list
      */
-    public long newestChange() {
-        return newestChange;
+    public long latestRevision() {
+        return latestRevision;
     }
 
     /**
@@ -40,8 +40,8 @@
      *
      * @param revision revision of the peer's latest change
      */
-    public void knows(long revision) {
-        newestChange = Math.max(newestChange, revision);
+    public void advanceLatestRevision(long revision) {
+        latestRevision = Math.max(latestRevision, revision);
     }
 
     /**
@@ -60,11 +60,12 @@
      * @return the changes that were applied
      */
     public List<SharedObject> apply(ObjectChanges changes) {
-        List<SharedObject> news =
-                changes.objects().stream().filter(this::takeIn).toList();
+        List<SharedObject> applied =
+                changes.objects().stream().filter(this::applyIfNewer).toList();
         asOf = Math.max(asOf, changes.asOf());
-        news.forEach(each -> newestChange = Math.max(newestChange, each.deleted() ? changes.asOf() : each.revision()));
-        return news;
+        applied.forEach(
+                each -> latestRevision = Math.max(latestRevision, each.deleted() ? changes.asOf() : each.revision()));
+        return applied;
     }
 
     /**
@@ -82,13 +83,13 @@
                 .toList();
         removed.forEach(each -> objects.put(each.name(), each));
         if (!removed.isEmpty()) {
-            newestChange = Math.max(newestChange, list.asOf());
+            latestRevision = Math.max(latestRevision, list.asOf());
         }
-        List<SharedObject> news = apply(list);
-        return Stream.concat(removed.stream(), news.stream()).toList();
+        List<SharedObject> applied = apply(list);
+        return Stream.concat(removed.stream(), applied.stream()).toList();
     }
 
-    private boolean takeIn(SharedObject change) {
+    private boolean applyIfNewer(SharedObject change) {
         SharedObject known = objects.get(change.name());
         boolean newer = known == null
                 || change.revision() > known.revision()
--- a/parsleydrift-registry/src/test/java/org/parsleydrift/registry/RoutingManifestTest.java
+++ b/parsleydrift-registry/src/test/java/org/parsleydrift/registry/RoutingManifestTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    public void theLongestPrefixOfTheHostWins() {
+    public void matchSelectsTheLongestPrefixOfTheHost() {
         RoutingManifest manifest = manifest(
                 Stream.of(route("short", "h", "/a/"), route("long", "h", "/a/b/"), route("other", "g", "/a/b/c/")));
         assertEquals(match(manifest, "h", "/a/b/c/d?x=/y/"), "long");
@@ -47,14 +47,14 @@
     }
 
     @Test
-    public void aThousandRoutesMatchLikeOne() {
+    public void matchFindsOneOfAThousandRoutes() {
         RoutingManifest manifest =
                 manifest(IntStream.range(0, 1000).mapToObj(i -> route("r" + i, "h", "/p" + i + "/")));
         assertEquals(match(manifest, "h", "/p999/x"), "r999");
     }
 
     @Test
-    public void destinationsAreDrawnByWeight() {
+    public void destinationsAreSelectedByWeight() {
         Route route = route("r", "h", "/");
         assertEquals(route.selectDestination(0.0), "a");
         assertEquals(route.selectDestination(0.89), "a");
--- a/parsleydrift-registry/src/test/java/org/parsleydrift/registry/RunnerLivesTest.java
+++ b/parsleydrift-registry/src/test/java/org/parsleydrift/registry/RunnerIncarnationTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.Test;
 
 /** Which incarnation of a runner the registry exposes. Test entries hold "START ADDRESS", or are invalid. */
-public class RunnerLivesTest {
+public class RunnerIncarnationTest {
     private Registry registry;
     private long revision;
 
@@ -43,40 +43,40 @@
         registry.applyRunnerChanges(List.of(new SharedObject(name, ++revision, false, content.getBytes(UTF_8))));
     }
 
-    private List<String> lives() {
+    private List<String> incarnations() {
         return registry.runners("s").stream().map(Runner::incarnation).sorted().toList();
     }
 
     /** Guards against sending requests for the former incarnation to the restarted process. */
     @Test
-    public void aRestartUnderTheSameIdIsAnotherLife() {
+    public void restartUnderTheSameIdIsANewIncarnation() {
         entry("r", "100 10.0.0.1:1");
         Runner former = registry.runners("s").getFirst();
         entry("r", "200 10.0.0.1:1");
-        assertEquals(lives(), List.of("r@200"));
+        assertEquals(incarnations(), List.of("r@200"));
         assertFalse(registry.isUsable(former));
         assertTrue(registry.isUsable(registry.runners("s").getFirst()));
     }
 
     /** Guards against a late entry of the former incarnation overriding the current one. */
     @Test
-    public void newsOfAFormerLifeNeverOverrideTheNewOne() {
+    public void entriesOfAFormerIncarnationAreIgnored() {
         entry("r", "200 10.0.0.2:1");
         entry("r", "100 10.0.0.1:1");
-        assertEquals(lives(), List.of("r@200"));
+        assertEquals(incarnations(), List.of("r@200"));
         registry.applyRunnerChanges(List.of(new SharedObject("r", ++revision, true, new byte[0])));
         entry("r", "100 10.0.0.1:1");
-        assertEquals(lives(), List.of());
+        assertEquals(incarnations(), List.of());
     }
 
     /** Guards against sending requests to a runner whose entry has been overwritten with invalid content. */
     @Test
-    public void anEntryThatTurnsUnreadableNamesNoRunner() {
+    public void unreadableEntryRemovesTheRunner() {
         entry("r", "100 10.0.0.1:1");
         entry("other", "100 10.0.0.2:1");
         entry("r", "nonsense");
-        assertEquals(lives(), List.of("other@100"));
+        assertEquals(incarnations(), List.of("other@100"));
         entry("r", "100 10.0.0.1:1");
-        assertEquals(lives(), List.of("other@100", "r@100"));
+        assertEquals(incarnations(), List.of("other@100", "r@100"));
     }
 }
--- a/parsleydrift-registry/src/test/java/org/parsleydrift/registry/VersionedTableTest.java
+++ b/parsleydrift-registry/src/test/java/org/parsleydrift/registry/VersionedTableTest.java
@@ -19,7 +19,7 @@
 
     /** Guards against an older entry, forwarded by a slow peer, making a draining runner available again. */
     @Test
-    public void olderNewsChangesNothing() {
+    public void olderChangesAreIgnored() {
         VersionedTable fresh = new VersionedTable();
         fresh.apply(new ObjectChanges(List.of(at("r", 5)), 5));
         assertEquals(fresh.apply(new ObjectChanges(List.of(at("r", 4)), 4)), List.of());
@@ -30,12 +30,12 @@
     }
 
     @Test
-    public void aListRemovesWhatItLacksUnlessThatIsNewer() {
+    public void listDeletesMissingObjectsUnlessNewer() {
         table.apply(new ObjectChanges(List.of(at("old", 3), at("new", 12)), 12));
         List<SharedObject> news = table.replace(new ObjectChanges(List.of(at("other", 10)), 10));
         assertEquals(news.stream().map(SharedObject::name).toList(), List.of("old", "other"));
         assertEquals(table.present().stream().map(SharedObject::name).sorted().toList(), List.of("new", "other"));
         assertEquals(table.asOf(), 12);
-        assertEquals(table.newestChange(), 12);
+        assertEquals(table.latestRevision(), 12);
     }
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
@@ -113,7 +113,7 @@
                 ObjectKind.NODES, RARE_WATCH_WAIT, new VersionedTable(), listener(this::nodesChanged, reached -> {}));
         // Peers introduce each other, so the initial list is enough until the mesh has decided which nodes watch for
         // new ones.
-        nodes.follow(false);
+        nodes.setWatching(false);
         mesh = new NodeMesh(
                 parts.loop,
                 frames,
@@ -123,7 +123,7 @@
                 stores::hasReachableQuorum,
                 parts.random,
                 Map.of(ObjectKind.RUNNERS, runners, ObjectKind.MANIFEST, manifests, ObjectKind.STORE_SET, storeSets),
-                nodes::follow);
+                nodes::setWatching);
         calls.setRelayFinder(mesh::peerThatReachesStores);
         callers = new CallerServer(
                 parts.threads,
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/FollowedObjects.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/FollowedObjects.java
@@ -61,12 +61,12 @@
     /** Registers gauges of the latest known revision and the staleness of the copy. */
     void measure(MeterRegistry meters) {
         Tags tags = Tags.of("kind", kind.name());
-        meters.gauge("parsleydrift.known.revision", tags, table, VersionedTable::newestChange);
+        meters.gauge("parsleydrift.known.revision", tags, table, VersionedTable::latestRevision);
         meters.gauge(
                 "parsleydrift.known.age.seconds",
                 tags,
                 follower,
-                each -> each.age().toMillis() / 1000.0);
+                each -> each.staleness().toMillis() / 1000.0);
     }
 
     @Override
@@ -76,7 +76,7 @@
 
     @Override
     public long newestChange() {
-        return table.newestChange();
+        return table.latestRevision();
     }
 
     @Override
@@ -91,31 +91,31 @@
 
     @Override
     public Duration age() {
-        return follower.age();
+        return follower.staleness();
     }
 
     @Override
     public boolean answered() {
-        return follower.answered();
+        return follower.isPlatformReachable();
     }
 
     @Override
     public Optional<Duration> answeredAge() {
-        return follower.answeredAge();
+        return follower.ownStaleness();
     }
 
     @Override
     public void completeAt(long nanos) {
-        follower.completeAt(nanos);
+        follower.recordCompleteAt(nanos);
     }
 
     @Override
     public void learn(ObjectChanges list, long newestChange, long completeNanos) {
         // Must precede the update: removals during an outage that ends here are treated as expired entries, not as
         // runners that left.
-        follower.completeAt(completeNanos);
+        follower.recordCompleteAt(completeNanos);
         List<SharedObject> news = table.replace(list);
-        table.knows(newestChange);
+        table.advanceLatestRevision(newestChange);
         tellNews(news);
         // The watch of this node is behind its peers and may be dead.
         follower.restart();
@@ -123,9 +123,9 @@
 
     @Override
     public void learnChanges(ObjectChanges changes, long newestChange, long completeNanos) {
-        follower.completeAt(completeNanos);
+        follower.recordCompleteAt(completeNanos);
         List<SharedObject> news = table.apply(changes);
-        table.knows(newestChange);
+        table.advanceLatestRevision(newestChange);
         if (!news.isEmpty()) {
             tellNews(news);
         }
@@ -133,7 +133,7 @@
 
     @Override
     public void follow(boolean watches) {
-        follower.follow(watches);
+        follower.setWatching(watches);
     }
 
     @Override
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeMesh.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeMesh.java
@@ -46,7 +46,7 @@
     /**
      * Staleness at which the first node checks for changes. Together with the status period, the next status frame and
      * the lag allowed before a fetch, this lets all nodes apply a change within
-     * {@link org.parsleydrift.registry.KnowledgeAge#SILENCE} even if every watch is dead.
+     * {@link org.parsleydrift.registry.StalenessTracker#MAX_STALENESS} even if every watch is dead.
      */
     private static final Duration CHECK_AGE = Duration.ofMillis(900);
     /**
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/StoreRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/StoreRole.java
@@ -62,7 +62,7 @@
         parts.loop.execute(() -> {
             replica.start(calls);
             ObjectWatcher sets = follower(ObjectKind.STORE_SET, keeper::onSetChanged);
-            keeper.setWatchListener(sets::follow);
+            keeper.setWatchListener(sets::setWatching);
             sets.start();
             follower(ObjectKind.RETIREMENTS, keeper::onRetirementsChanged).start();
             keeper.start();
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshMember.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshMember.java
@@ -154,7 +154,7 @@
 
             @Override
             public long newestChange() {
-                return runners.newestChange();
+                return runners.latestRevision();
             }
 
             @Override
@@ -192,13 +192,13 @@
             @Override
             public void learnChanges(ObjectChanges changes, long newestChange, long completeNanos) {
                 learned.addAll(runners.apply(changes));
-                runners.knows(newestChange);
+                runners.advanceLatestRevision(newestChange);
             }
 
             @Override
             public void learn(ObjectChanges list, long newestChange, long completeNanos) {
                 learned.addAll(runners.replace(list));
-                runners.knows(newestChange);
+                runners.advanceLatestRevision(newestChange);
             }
         };
     }
