--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/CallerSpread.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/AdvertisedNodeSelector.java
@@ -14,24 +14,24 @@
  * <p>The load is the number of requests that all nodes have at runners. More nodes are advertised as soon as it rises,
  * fewer only after it has been lower for a while, since callers leave nodes that are no longer advertised.
  */
-final class CallerSpread {
+final class AdvertisedNodeSelector {
     static final int REQUESTS_PER_NODE = 8;
     /**
      * At least the ready nodes divided by this number are advertised, which is enough when all callers reconnect at
      * once.
      */
-    static final int LEAST_SHARE = 3;
+    static final int MIN_NODES_DIVISOR = 3;
     /** How long the peak load is retained. */
-    static final Duration HELD = Duration.ofSeconds(5);
+    static final Duration PEAK_RETENTION = Duration.ofSeconds(5);
 
-    private int held;
-    private long heldNanos;
+    private int peakRequests;
+    private long peakNanos;
 
     /** Records the number of requests that all nodes have at runners, at a time in ns. */
-    void load(int requests, long now) {
-        if (requests >= held || now - heldNanos > HELD.toNanos()) {
-            held = requests;
-            heldNanos = now;
+    void recordLoad(int requests, long now) {
+        if (requests >= peakRequests || now - peakNanos > PEAK_RETENTION.toNanos()) {
+            peakRequests = requests;
+            peakNanos = now;
         }
     }
 
@@ -42,21 +42,21 @@
      * @return the same number of nodes of each availability zone, as far as it has them; the last ones by name, because
      *     the first ones serve as hubs and watch the platform
      */
-    List<NodeIdentity> named(List<NodeIdentity> ready) {
-        if (ready.size() <= MeshPlan.DIRECT_PEERS) {
+    List<NodeIdentity> select(List<NodeIdentity> ready) {
+        if (ready.size() <= MeshPlan.MAX_FULL_MESH_PEERS) {
             return ready;
         }
         TreeMap<String, List<NodeIdentity>> zones = ready.stream()
                 .sorted(Comparator.comparing(NodeIdentity::name).reversed())
                 .collect(Collectors.groupingBy(NodeIdentity::zone, TreeMap::new, Collectors.toList()));
-        int wanted = Math.max(roundedUp(ready.size(), LEAST_SHARE), roundedUp(held, REQUESTS_PER_NODE));
-        int perZone = roundedUp(wanted, zones.size());
+        int nodeCount = Math.max(ceilDiv(ready.size(), MIN_NODES_DIVISOR), ceilDiv(peakRequests, REQUESTS_PER_NODE));
+        int perZone = ceilDiv(nodeCount, zones.size());
         return zones.values().stream()
                 .flatMap(each -> each.stream().limit(perZone))
                 .toList();
     }
 
-    private static int roundedUp(int number, int divisor) {
+    private static int ceilDiv(int number, int divisor) {
         return (number + divisor - 1) / divisor;
     }
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
@@ -42,23 +42,23 @@
      */
     static final Duration WATCH_WAIT = Duration.ofSeconds(24);
 
-    private static final Duration RARE_WATCH_WAIT = Duration.ofSeconds(25);
+    private static final Duration NODES_WATCH_WAIT = Duration.ofSeconds(25);
     /** Cache time of the directory response, s. Short, so that callers soon leave a node that is shutting down. */
-    private static final int KEEP_SECONDS = 1;
+    private static final int DIRECTORY_CACHE_SECONDS = 1;
     /** Maximum number of connections to the readiness endpoint and to the directory endpoint. */
-    private static final int SMALL_SERVER_CONNECTIONS = 512;
+    private static final int MAX_AUXILIARY_CONNECTIONS = 512;
     /**
      * Fraction of the grace time during which connections are still accepted after SIGTERM, for callers with an old
      * address list.
      */
-    private static final double OPEN_SHARE = 0.6;
+    private static final double ACCEPT_FRACTION = 0.6;
     /** Fraction of the grace time after which the process exits even if requests are open. */
-    private static final double END_SHARE = 0.93;
+    private static final double EXIT_FRACTION = 0.93;
 
-    private static final Duration DRAIN_CHECK = Duration.ofMillis(50);
-    private static final Duration ENTRY_RETRY = Duration.ofMillis(700);
+    private static final Duration DRAIN_CHECK_PERIOD = Duration.ofMillis(50);
+    private static final Duration ENTRY_RETRY_DELAY = Duration.ofMillis(700);
 
-    private final ProcessParts parts;
+    private final ProcessContext context;
     private final NodeIdentity self;
     private final Registry registry;
     private final ConversationClient stores;
@@ -67,79 +67,83 @@
     private final Dispatcher dispatcher;
     private final Relay relay;
     private final NodeMesh mesh;
-    private final FollowedObjects runners;
-    private final FollowedObjects manifests;
-    private final FollowedObjects storeSets;
+    private final WatchedObjects runners;
+    private final WatchedObjects manifests;
+    private final WatchedObjects storeSets;
     private final ObjectWatcher nodes;
-    private final CallerServer callers;
+    private final CallerServer callerServer;
     private volatile boolean draining;
-    private boolean entrySought;
+    private boolean nodesListed;
 
-    EntryRole(ProcessParts parts) {
-        this.parts = parts;
-        RoleSettings settings = parts.settings;
+    EntryRole(ProcessContext context) {
+        this.context = context;
+        RoleSettings settings = context.settings;
         self = new NodeIdentity(
                 settings.vm(),
                 settings.zone(),
                 settings.callers().orElseThrow().toString(),
                 settings.link().toString());
-        registry = new Registry(parts.loop, parts.outside.decoder());
-        LinkFrames frames = new LinkFrames(parts, this::receive);
+        registry = new Registry(context.loop, context.plugin.decoder());
+        TcpFrameSender frames = new TcpFrameSender(context, this::receive);
         calls = new ReplicaCalls(
-                parts.loop,
+                context.loop,
                 frames,
                 self.link(),
                 request -> CompletableFuture.failedFuture(
                         new StepException(Step.FORWARD, self.name(), "entry nodes do not store conversations")));
-        stores = new ConversationClient(parts.loop, calls);
-        allotments =
-                new Allotments(parts.loop.clock()::nanos, parts.random, settings.allotmentRule(), this::knowsFleetsUse);
-        dispatcher = new Dispatcher(registry, parts.random, settings.zone(), parts.loop.clock()::nanos);
+        stores = new ConversationClient(context.loop, calls);
+        allotments = new Allotments(
+                context.loop.clock()::nanos, context.random, settings.allotmentRule(), this::hasFleetUsage);
+        dispatcher = new Dispatcher(registry, context.random, settings.zone(), context.loop.clock()::nanos);
         relay = new Relay(
-                parts.threads,
-                parts.loop,
+                context.threads,
+                context.loop,
                 registry,
                 dispatcher,
                 new Conversations(stores),
                 allotments,
-                parts.outside.dialect(),
-                parts.random,
-                parts.meters);
-        runners = followed(ObjectKind.RUNNERS, listener(registry::applyRunnerChanges, registry::setPlatformReachable));
-        manifests =
-                followed(ObjectKind.MANIFEST, listener(registry::applyManifestChanges, registry::setManifestCurrent));
-        storeSets = followed(ObjectKind.STORE_SET, listener(this::storeSetChanged, reached -> {}));
-        nodes = parts.follow(
-                ObjectKind.NODES, RARE_WATCH_WAIT, new VersionedTable(), listener(this::nodesChanged, reached -> {}));
+                context.plugin.dialect(),
+                context.random,
+                context.meters);
+        runners = createWatched(
+                ObjectKind.RUNNERS, listener(registry::applyRunnerChanges, registry::setPlatformReachable));
+        manifests = createWatched(
+                ObjectKind.MANIFEST, listener(registry::applyManifestChanges, registry::setManifestCurrent));
+        storeSets = createWatched(ObjectKind.STORE_SET, listener(this::applyStoreSetChanges, reached -> {}));
+        nodes = context.createWatcher(
+                ObjectKind.NODES,
+                NODES_WATCH_WAIT,
+                new VersionedTable(),
+                listener(this::applyNodeChanges, reached -> {}));
         // Peers introduce each other, so the initial list is enough until the mesh has decided which nodes watch for
         // new ones.
         nodes.setWatching(false);
         mesh = new NodeMesh(
-                parts.loop,
+                context.loop,
                 frames,
                 self,
-                new FleetUse(dispatcher, allotments),
-                this::ready,
+                new FleetUsage(dispatcher, allotments),
+                this::isReady,
                 stores::hasReachableQuorum,
-                parts.random,
+                context.random,
                 Map.of(ObjectKind.RUNNERS, runners, ObjectKind.MANIFEST, manifests, ObjectKind.STORE_SET, storeSets),
                 nodes::setWatching);
-        calls.setRelayFinder(mesh::peerThatReachesStores);
-        callers = new CallerServer(
-                parts.threads,
-                parts.loop,
+        calls.setRelayFinder(mesh::findPeerReachingStores);
+        callerServer = new CallerServer(
+                context.threads,
+                context.loop,
                 settings.callers().orElseThrow().socket(),
                 relay,
                 () -> registry.manifest().map(RoutingManifest::limits).orElseGet(CallerLimits::defaults));
-        parts.serve(settings.readiness().orElseThrow(), SMALL_SERVER_CONNECTIONS, this::readiness);
-        parts.serve(settings.directory().orElseThrow(), SMALL_SERVER_CONNECTIONS, this::directory);
-        parts.meters.gauge("parsleydrift.requests.open", relay, Relay::open);
-        parts.meters.gauge("parsleydrift.requests.waiting", dispatcher, Dispatcher::waiting);
+        context.serve(settings.readiness().orElseThrow(), MAX_AUXILIARY_CONNECTIONS, this::respondReadiness);
+        context.serve(settings.directory().orElseThrow(), MAX_AUXILIARY_CONNECTIONS, this::respondDirectory);
+        context.meters.gauge("parsleydrift.requests.open", relay, Relay::open);
+        context.meters.gauge("parsleydrift.requests.waiting", dispatcher, Dispatcher::waiting);
     }
 
     @Override
     public void start() {
-        parts.loop.execute(() -> {
+        context.loop.execute(() -> {
             runners.start();
             manifests.start();
             storeSets.start();
@@ -152,19 +156,19 @@
     public void drain() {
         LOG.log(Logger.Level.INFO, LogLine.of("drain_begun").toString());
         draining = true;
-        CountDownLatch ended = new CountDownLatch(1);
-        long begun = parts.loop.clock().nanos();
-        parts.loop.execute(() -> {
-            mesh.tellNow();
-            callers.drain();
-            parts.loop.every(DRAIN_CHECK, () -> drainStep(begun, ended));
+        CountDownLatch drained = new CountDownLatch(1);
+        long startNanos = context.loop.clock().nanos();
+        context.loop.execute(() -> {
+            mesh.sendNow();
+            callerServer.drain();
+            context.loop.every(DRAIN_CHECK_PERIOD, () -> checkDrained(startNanos, drained));
         });
         try {
-            long most = (long) (parts.settings.grace().toMillis() * END_SHARE);
-            boolean whole = ended.await(most, TimeUnit.MILLISECONDS);
+            long maxMillis = (long) (context.settings.grace().toMillis() * EXIT_FRACTION);
+            boolean complete = drained.await(maxMillis, TimeUnit.MILLISECONDS);
             LOG.log(
                     Logger.Level.INFO,
-                    LogLine.of("drain_ended").with("complete", whole).toString());
+                    LogLine.of("drain_ended").with("complete", complete).toString());
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
@@ -173,39 +177,39 @@
     @Override
     public void reload(RoleSettings settings) {
         // Addresses cannot change in a running process; everything else comes from the platform.
-        boolean changed = !settings.equals(parts.settings);
+        boolean changed = !settings.equals(context.settings);
         LOG.log(
                 Logger.Level.INFO,
                 LogLine.of("settings_reloaded").with("changed", changed).toString());
     }
 
-    private void drainStep(long begunNanos, CountDownLatch ended) {
-        long sinceMillis = (parts.loop.clock().nanos() - begunNanos) / 1_000_000;
-        if (sinceMillis > parts.settings.grace().toMillis() * OPEN_SHARE) {
-            callers.closeIdle();
-            if (relay.open() == 0 && callers.connections() == 0) {
-                ended.countDown();
+    private void checkDrained(long startNanos, CountDownLatch drained) {
+        long elapsedMillis = (context.loop.clock().nanos() - startNanos) / 1_000_000;
+        if (elapsedMillis > context.settings.grace().toMillis() * ACCEPT_FRACTION) {
+            callerServer.closeIdle();
+            if (relay.open() == 0 && callerServer.connections() == 0) {
+                drained.countDown();
             }
         }
     }
 
-    private boolean ready() {
-        boolean cutOff = !stores.hasReachableQuorum() && !mesh.hearsAnyone() && mesh.hasKnownPeers();
-        return !draining && registry.manifest().isPresent() && !cutOff;
+    private boolean isReady() {
+        boolean isolated = !stores.hasReachableQuorum() && !mesh.hasDirectPeers() && mesh.hasKnownPeers();
+        return !draining && registry.manifest().isPresent() && !isolated;
     }
 
     /** Whether the usage of quotas at other nodes is known: this node hears peers, or the platform lists none. */
-    private boolean knowsFleetsUse() {
-        return mesh.hearsAnyone() || (entrySought && !mesh.hasKnownPeers());
+    private boolean hasFleetUsage() {
+        return mesh.hasDirectPeers() || (nodesListed && !mesh.hasKnownPeers());
     }
 
-    private void readiness(HttpExchange exchange) {
-        boolean known = exchange.path().equals(parts.outside.readinessPath());
-        exchange.respond(known ? (ready() ? 200 : 503) : 404, "text/plain", "", Map.of());
+    private void respondReadiness(HttpExchange exchange) {
+        boolean known = exchange.path().equals(context.plugin.readinessPath());
+        exchange.respond(known ? (isReady() ? 200 : 503) : 404, "text/plain", "", Map.of());
     }
 
-    private void directory(HttpExchange exchange) {
-        if (!exchange.path().equals(parts.outside.directoryPath())) {
+    private void respondDirectory(HttpExchange exchange) {
+        if (!exchange.path().equals(context.plugin.directoryPath())) {
             exchange.respond(404, "text/plain", "", Map.of());
             return;
         }
@@ -214,7 +218,11 @@
             exchange.respond(503, "text/plain", "", Map.of("Retry-After", "0.3"));
             return;
         }
-        exchange.respond(200, "application/json", parts.outside.directoryResponse(addresses, KEEP_SECONDS), Map.of());
+        exchange.respond(
+                200,
+                "application/json",
+                context.plugin.directoryResponse(addresses, DIRECTORY_CACHE_SECONDS),
+                Map.of());
     }
 
     private void receive(byte[] frame) {
@@ -223,23 +231,23 @@
         }
     }
 
-    private void storeSetChanged(List<SharedObject> news) {
-        forEachReadable(news, each -> stores.adopt(StoreSetJson.read(each.content())));
+    private void applyStoreSetChanges(List<SharedObject> changes) {
+        forEachReadable(changes, each -> stores.adopt(StoreSetJson.read(each.content())));
     }
 
-    private void nodesChanged(List<SharedObject> news) {
-        if (!entrySought) {
-            entrySought = true;
-            writeEntry(ownEntry(news));
+    private void applyNodeChanges(List<SharedObject> changes) {
+        if (!nodesListed) {
+            nodesListed = true;
+            publishEntry(ownEntry(changes));
         }
-        forEachReadable(news, each -> mesh.known(NodeIdentity.read(each.content())));
+        forEachReadable(changes, each -> mesh.addPeer(NodeIdentity.fromJson(each.content())));
     }
 
     /** Passes on entries one by one, so that an unreadable entry does not affect the others. */
-    private static void forEachReadable(List<SharedObject> news, Consumer<SharedObject> taker) {
-        news.stream().filter(each -> !each.deleted()).forEach(each -> {
+    private static void forEachReadable(List<SharedObject> changes, Consumer<SharedObject> consumer) {
+        changes.stream().filter(each -> !each.deleted()).forEach(each -> {
             try {
-                taker.accept(each);
+                consumer.accept(each);
             } catch (StepException fault) {
                 LOG.log(
                         Logger.Level.WARNING,
@@ -262,25 +270,29 @@
      * Publishes this node's entry, with retries, since callers are not sent to a node without an entry. An entry that
      * is already correct is not written again, to save the write and the watch events that it causes.
      */
-    private void writeEntry(Optional<SharedObject> present) {
-        if (present.filter(this::namesSelf).isPresent()) {
+    private void publishEntry(Optional<SharedObject> present) {
+        if (present.filter(this::matchesSelf).isPresent()) {
             return;
         }
         OptionalLong revision =
                 present.stream().mapToLong(SharedObject::revision).findAny();
-        parts.objects.put(ObjectKind.NODES, self.name(), revision, self.json()).whenComplete((written, failure) -> {
-            if (failure != null) {
-                LOG.log(
-                        Logger.Level.WARNING,
-                        LogLine.of("node_entry_not_written").failure(failure).toString());
-                parts.loop.schedule(ENTRY_RETRY, this::writeEntryAnew);
-            }
-        });
+        context.objects
+                .put(ObjectKind.NODES, self.name(), revision, self.toJson())
+                .whenComplete((written, failure) -> {
+                    if (failure != null) {
+                        LOG.log(
+                                Logger.Level.WARNING,
+                                LogLine.of("node_entry_not_written")
+                                        .failure(failure)
+                                        .toString());
+                        context.loop.schedule(ENTRY_RETRY_DELAY, this::retryPublishEntry);
+                    }
+                });
     }
 
-    private boolean namesSelf(SharedObject entry) {
+    private boolean matchesSelf(SharedObject entry) {
         try {
-            return NodeIdentity.read(entry.content()).equals(self);
+            return NodeIdentity.fromJson(entry.content()).equals(self);
         } catch (StepException unreadable) {
             LOG.log(
                     Logger.Level.WARNING,
@@ -289,37 +301,37 @@
         }
     }
 
-    private void writeEntryAnew() {
-        parts.objects
+    private void retryPublishEntry() {
+        context.objects
                 .list(ObjectKind.NODES)
-                .whenComplete((list, failure) -> parts.loop.execute(() -> {
+                .whenComplete((list, failure) -> context.loop.execute(() -> {
                     if (failure == null) {
-                        writeEntry(ownEntry(list.objects()));
+                        publishEntry(ownEntry(list.objects()));
                     } else {
-                        parts.loop.schedule(ENTRY_RETRY, this::writeEntryAnew);
+                        context.loop.schedule(ENTRY_RETRY_DELAY, this::retryPublishEntry);
                     }
                 }));
     }
 
     private static ObjectWatcher.Listener listener(
-            Consumer<List<SharedObject>> news, Consumer<Boolean> platformReached) {
+            Consumer<List<SharedObject>> changeListener, Consumer<Boolean> reachabilityListener) {
         return new ObjectWatcher.Listener() {
             @Override
-            public void onChanges(List<SharedObject> changed) {
-                news.accept(changed);
+            public void onChanges(List<SharedObject> changes) {
+                changeListener.accept(changes);
             }
 
             @Override
-            public void onReachabilityChanged(boolean reached) {
-                platformReached.accept(reached);
+            public void onReachabilityChanged(boolean reachable) {
+                reachabilityListener.accept(reachable);
             }
         };
     }
 
-    private FollowedObjects followed(ObjectKind kind, ObjectWatcher.Listener listener) {
-        FollowedObjects objects =
-                new FollowedObjects(kind, parts.objects, parts.loop, parts.random, WATCH_WAIT, listener);
-        objects.measure(parts.meters);
+    private WatchedObjects createWatched(ObjectKind kind, ObjectWatcher.Listener listener) {
+        WatchedObjects objects =
+                new WatchedObjects(kind, context.objects, context.loop, context.random, WATCH_WAIT, listener);
+        objects.registerGauges(context.meters);
         return objects;
     }
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/MeshPeer.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/MeshPeer.java
@@ -9,9 +9,9 @@
 final class MeshPeer {
     final NodeIdentity identity;
     private Optional<NodeState> state = Optional.empty();
-    private long saidNanos;
-    private OptionalLong directNanos = OptionalLong.empty();
-    private boolean countsByItself;
+    private long stateNanos;
+    private OptionalLong contactNanos = OptionalLong.empty();
+    private boolean countedIndividually;
 
     MeshPeer(NodeIdentity identity) {
         this.identity = identity;
@@ -26,57 +26,57 @@
         return state;
     }
 
-    long saidNanos() {
-        return saidNanos;
+    long stateNanos() {
+        return stateNanos;
     }
 
     /** Records that a frame was received from the peer itself. */
-    void spoke(long now) {
-        directNanos = OptionalLong.of(now);
+    void recordContact(long now) {
+        contactNanos = OptionalLong.of(now);
     }
 
-    boolean spokeWithin(Duration span, long now) {
-        return directNanos.isPresent() && now - directNanos.getAsLong() < span.toNanos();
+    boolean hasContactWithin(Duration span, long now) {
+        return contactNanos.isPresent() && now - contactNanos.getAsLong() < span.toNanos();
     }
 
-    boolean saidWithin(Duration span, long now) {
-        return state.isPresent() && now - saidNanos < span.toNanos();
+    boolean hasStateWithin(Duration span, long now) {
+        return state.isPresent() && now - stateNanos < span.toNanos();
     }
 
     /** Updates the state if it is newer than the known one; returns whether its content changed. */
-    boolean take(NodeState newer, long said) {
-        if (state.isPresent() && said - saidNanos <= 0) {
+    boolean updateState(NodeState newer, long newerNanos) {
+        if (state.isPresent() && newerNanos - stateNanos <= 0) {
             return false;
         }
-        boolean changed = state.isEmpty() || !state.get().saysTheSame(newer);
+        boolean changed = state.isEmpty() || !state.get().isEquivalent(newer);
         state = Optional.of(newer);
-        saidNanos = said;
+        stateNanos = newerNanos;
         return changed;
     }
 
-    void forgetState() {
+    void clearState() {
         state = Optional.empty();
     }
 
     /** Whether the usage reported by the peer itself is counted, instead of the sum of its zone. */
-    boolean countsByItself() {
-        return countsByItself;
+    boolean isCountedIndividually() {
+        return countedIndividually;
     }
 
-    void countByItself(boolean counts) {
-        countsByItself = counts;
+    void setCountedIndividually(boolean counted) {
+        countedIndividually = counted;
     }
 
     /** Combines the state relayed by the peer's hub with the usage and revisions that the peer last reported itself. */
-    NodeState relayed(ZoneSummary.Member told) {
+    NodeState relayedState(ZoneSummary.Member member) {
         return new NodeState(
-                told.name(),
+                member.name(),
                 Optional.empty(),
                 state.map(NodeState::round).orElse(0),
-                told.ready(),
-                told.reachesStores(),
-                told.reachesPlatform(),
-                state.map(NodeState::known).orElse(Map.of()),
-                state.map(NodeState::use).orElse(NodeUse.NONE));
+                member.ready(),
+                member.reachesStores(),
+                member.reachesPlatform(),
+                state.map(NodeState::freshness).orElse(Map.of()),
+                state.map(NodeState::usage).orElse(NodeUsage.NONE));
     }
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/MeshPlan.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/MeshPlan.java
@@ -14,24 +14,27 @@
  * hears no node before itself acts as the hub, and so does a node that another one treats as its hub. While nodes
  * disagree, some states are sent twice and none is lost.
  *
- * @param own receivers of this node's own state
- * @param zone receivers of the summary of this node's zone: the first nodes of the other zones
- * @param all receivers of the summaries of all known zones: the members of this hub's zone
+ * @param stateReceivers receivers of this node's own state
+ * @param summaryReceivers receivers of the summary of this node's zone: the first nodes of the other zones
+ * @param allSummariesReceivers receivers of the summaries of all known zones: the members of this hub's zone
  */
-record MeshPlan(List<NodeIdentity> own, List<NodeIdentity> zone, List<NodeIdentity> all) {
+record MeshPlan(
+        List<NodeIdentity> stateReceivers,
+        List<NodeIdentity> summaryReceivers,
+        List<NodeIdentity> allSummariesReceivers) {
     /** Maximum number of peers for a full mesh; beyond it, hubs need fewer frames. */
-    static final int DIRECT_PEERS = 16;
+    static final int MAX_FULL_MESH_PEERS = 16;
     /** Receivers in each other zone; the second one covers the time until the end of the first is detected. */
-    private static final int TOLD_PER_ZONE = 2;
+    private static final int RECEIVERS_PER_ZONE = 2;
 
-    private static final Comparator<Neighbour> RANK =
+    private static final Comparator<Neighbour> BY_NAME =
             Comparator.comparing(each -> each.identity().name());
 
     /** Copies the lists. */
     MeshPlan {
-        own = List.copyOf(own);
-        zone = List.copyOf(zone);
-        all = List.copyOf(all);
+        stateReceivers = List.copyOf(stateReceivers);
+        summaryReceivers = List.copyOf(summaryReceivers);
+        allSummariesReceivers = List.copyOf(allSummariesReceivers);
     }
 
     /**
@@ -53,61 +56,65 @@
      * @return the receivers
      */
     static MeshPlan of(NodeIdentity self, List<Neighbour> peers, boolean hub, boolean probing) {
-        if (peers.size() <= DIRECT_PEERS) {
+        if (peers.size() <= MAX_FULL_MESH_PEERS) {
             return new MeshPlan(identities(peers), List.of(), List.of());
         }
-        List<Neighbour> mates = peers.stream()
+        List<Neighbour> zonePeers = peers.stream()
                 .filter(each -> each.identity().zone().equals(self.zone()))
-                .sorted(RANK)
+                .sorted(BY_NAME)
                 .toList();
-        List<Neighbour> before = mates.stream()
+        List<Neighbour> preceding = zonePeers.stream()
                 .filter(each -> each.identity().name().compareTo(self.name()) < 0)
                 .toList();
-        int heard = firstDirect(before);
-        List<Neighbour> reports = before.subList(0, Math.min(heard + 1, before.size())).stream()
+        int firstDirect = indexOfFirstDirect(preceding);
+        List<Neighbour> hubCandidates = preceding.subList(0, Math.min(firstDirect + 1, preceding.size())).stream()
                 .filter(each -> each.alive() || probing)
                 .toList();
-        boolean actsAsHub = hub || heard == before.size();
+        boolean actsAsHub = hub || firstDirect == preceding.size();
         return actsAsHub
-                ? new MeshPlan(identities(reports), otherZones(self, peers, probing), reached(mates, probing))
-                : new MeshPlan(identities(reports), List.of(), List.of());
+                ? new MeshPlan(
+                        identities(hubCandidates),
+                        receiversInOtherZones(self, peers, probing),
+                        reachable(zonePeers, probing))
+                : new MeshPlan(identities(hubCandidates), List.of(), List.of());
     }
 
     /** Returns the index of the first node heard directly; the number of nodes if there is none. */
-    private static int firstDirect(List<Neighbour> ranked) {
-        int place = 0;
-        while (place < ranked.size() && !ranked.get(place).direct()) {
-            place++;
+    private static int indexOfFirstDirect(List<Neighbour> ordered) {
+        int index = 0;
+        while (index < ordered.size() && !ordered.get(index).direct()) {
+            index++;
         }
-        return place;
+        return index;
     }
 
-    private static List<NodeIdentity> otherZones(NodeIdentity self, List<Neighbour> peers, boolean probing) {
+    private static List<NodeIdentity> receiversInOtherZones(NodeIdentity self, List<Neighbour> peers, boolean probing) {
         return peers.stream()
                 .filter(each -> !each.identity().zone().equals(self.zone()))
-                .sorted(RANK)
+                .sorted(BY_NAME)
                 .collect(Collectors.groupingBy(each -> each.identity().zone()))
                 .values()
                 .stream()
-                .flatMap(each -> firstOf(each, probing).stream())
+                .flatMap(each -> receiversIn(each, probing).stream())
                 .map(Neighbour::identity)
                 .toList();
     }
 
-    private static List<Neighbour> firstOf(List<Neighbour> zone, boolean probing) {
-        List<Neighbour> told = new ArrayList<>(
-                zone.stream().filter(Neighbour::alive).limit(TOLD_PER_ZONE).toList());
-        if (told.isEmpty() || probing) {
+    private static List<Neighbour> receiversIn(List<Neighbour> zone, boolean probing) {
+        List<Neighbour> receivers = new ArrayList<>(
+                zone.stream().filter(Neighbour::alive).limit(RECEIVERS_PER_ZONE).toList());
+        if (receivers.isEmpty() || probing) {
             zone.stream()
-                    .limit(TOLD_PER_ZONE)
-                    .filter(each -> !told.contains(each))
-                    .forEach(told::add);
+                    .limit(RECEIVERS_PER_ZONE)
+                    .filter(each -> !receivers.contains(each))
+                    .forEach(receivers::add);
         }
-        return told;
+        return receivers;
     }
 
-    private static List<NodeIdentity> reached(List<Neighbour> mates, boolean probing) {
-        return identities(mates.stream().filter(each -> each.alive() || probing).toList());
+    private static List<NodeIdentity> reachable(List<Neighbour> zonePeers, boolean probing) {
+        return identities(
+                zonePeers.stream().filter(each -> each.alive() || probing).toList());
     }
 
     private static List<NodeIdentity> identities(List<Neighbour> neighbours) {
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeIdentity.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeIdentity.java
@@ -18,7 +18,7 @@
 record NodeIdentity(String name, String zone, String callers, String link) {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    byte[] json() {
+    byte[] toJson() {
         return MAPPER.createObjectNode()
                 .put("name", name)
                 .put("zone", zone)
@@ -28,7 +28,7 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    static NodeIdentity read(byte[] json) {
+    static NodeIdentity fromJson(byte[] json) {
         try {
             JsonNode root = MAPPER.readTree(json);
             return new NodeIdentity(
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeState.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeState.java
@@ -21,8 +21,8 @@
  * @param ready whether the node can be advertised to callers
  * @param reachesStores whether it reaches the store VMs directly
  * @param reachesPlatform whether the platform answers it
- * @param known revision and staleness of its copies, by kind
- * @param use its usage of runners and quotas
+ * @param freshness revision and staleness of its copies, by kind
+ * @param usage its usage of runners and quotas
  */
 record NodeState(
         String name,
@@ -31,30 +31,30 @@
         boolean ready,
         boolean reachesStores,
         boolean reachesPlatform,
-        Map<ObjectKind, Known> known,
-        NodeUse use) {
+        Map<ObjectKind, Freshness> freshness,
+        NodeUsage usage) {
     private static final Map<String, ObjectKind> KINDS =
             Stream.of(ObjectKind.values()).collect(Collectors.toMap(ObjectKind::name, each -> each));
 
     /** Copies the map. */
     NodeState {
-        known = Map.copyOf(known);
+        freshness = Map.copyOf(freshness);
     }
 
     /**
      * Revision and staleness of a node's copy of one kind of shared objects.
      *
-     * @param newestChange revision of the latest known change
-     * @param answeredMillis time from sending the node's latest answered request to sending this state, ms; empty
+     * @param latestRevision revision of the latest known change
+     * @param stalenessMillis time from sending the node's latest answered request to sending this state, ms; empty
      *     before the first answer
      */
-    record Known(long newestChange, OptionalLong answeredMillis) {
+    record Freshness(long latestRevision, OptionalLong stalenessMillis) {
         /** Returns the same with an increased staleness, ms. */
-        Known later(long millis) {
-            return new Known(
-                    newestChange,
-                    answeredMillis.isPresent()
-                            ? OptionalLong.of(answeredMillis.getAsLong() + millis)
+        Freshness agedBy(long millis) {
+            return new Freshness(
+                    latestRevision,
+                    stalenessMillis.isPresent()
+                            ? OptionalLong.of(stalenessMillis.getAsLong() + millis)
                             : OptionalLong.empty());
         }
 
@@ -62,22 +62,23 @@
          * Combines the copies of two nodes. Answers of the platform are ordered by revision, so a copy with the higher
          * revision is complete as of the later of both times.
          */
-        static Known newest(Known one, Known other) {
-            return new Known(
-                    Math.max(one.newestChange, other.newestChange),
-                    LongStream.concat(one.answeredMillis.stream(), other.answeredMillis.stream())
+        static Freshness merge(Freshness one, Freshness other) {
+            return new Freshness(
+                    Math.max(one.latestRevision, other.latestRevision),
+                    LongStream.concat(one.stalenessMillis.stream(), other.stalenessMillis.stream())
                             .min());
         }
 
-        static Known read(MessageUnpacker in) throws IOException {
-            long newestChange = in.unpackLong();
-            return new Known(newestChange, in.tryUnpackNil() ? OptionalLong.empty() : OptionalLong.of(in.unpackLong()));
+        static Freshness read(MessageUnpacker in) throws IOException {
+            long latestRevision = in.unpackLong();
+            return new Freshness(
+                    latestRevision, in.tryUnpackNil() ? OptionalLong.empty() : OptionalLong.of(in.unpackLong()));
         }
 
         void write(MessagePacker out) throws IOException {
-            out.packLong(newestChange);
-            if (answeredMillis.isPresent()) {
-                out.packLong(answeredMillis.getAsLong());
+            out.packLong(latestRevision);
+            if (stalenessMillis.isPresent()) {
+                out.packLong(stalenessMillis.getAsLong());
             } else {
                 out.packNil();
             }
@@ -85,26 +86,26 @@
     }
 
     /** Whether another state differs in its round and staleness only. */
-    boolean saysTheSame(NodeState other) {
+    boolean isEquivalent(NodeState other) {
         return ready == other.ready
                 && reachesStores == other.reachesStores
                 && reachesPlatform == other.reachesPlatform
-                && use.equals(other.use)
-                && newestChanges(known).equals(newestChanges(other.known));
+                && usage.equals(other.usage)
+                && latestRevisions(freshness).equals(latestRevisions(other.freshness));
     }
 
-    static Map<ObjectKind, Long> newestChanges(Map<ObjectKind, Known> known) {
-        return known.entrySet().stream()
+    static Map<ObjectKind, Long> latestRevisions(Map<ObjectKind, Freshness> freshness) {
+        return freshness.entrySet().stream()
                 .collect(Collectors.toMap(
-                        Map.Entry::getKey, each -> each.getValue().newestChange()));
+                        Map.Entry::getKey, each -> each.getValue().latestRevision()));
     }
 
     void write(MessagePacker out) throws IOException {
         out.packString(name);
         writeIdentity(out, identity);
         out.packInt(round).packBoolean(ready).packBoolean(reachesStores).packBoolean(reachesPlatform);
-        writeKnown(out, known);
-        use.write(out);
+        writeFreshness(out, freshness);
+        usage.write(out);
     }
 
     static NodeState read(MessageUnpacker in) throws IOException {
@@ -116,15 +117,15 @@
                 in.unpackBoolean(),
                 in.unpackBoolean(),
                 in.unpackBoolean(),
-                readKnown(in),
-                NodeUse.read(in));
+                readFreshness(in),
+                NodeUsage.read(in));
     }
 
     static void writeIdentity(MessagePacker out, Optional<NodeIdentity> identity) throws IOException {
         out.packBoolean(identity.isPresent());
         if (identity.isPresent()) {
-            NodeIdentity told = identity.get();
-            out.packString(told.zone()).packString(told.callers()).packString(told.link());
+            NodeIdentity present = identity.get();
+            out.packString(present.zone()).packString(present.callers()).packString(present.link());
         }
     }
 
@@ -134,25 +135,25 @@
                 : Optional.empty();
     }
 
-    static void writeKnown(MessagePacker out, Map<ObjectKind, Known> known) throws IOException {
-        out.packMapHeader(known.size());
-        for (Map.Entry<ObjectKind, Known> each : known.entrySet()) {
+    static void writeFreshness(MessagePacker out, Map<ObjectKind, Freshness> freshness) throws IOException {
+        out.packMapHeader(freshness.size());
+        for (Map.Entry<ObjectKind, Freshness> each : freshness.entrySet()) {
             out.packString(each.getKey().name());
             each.getValue().write(out);
         }
     }
 
-    static Map<ObjectKind, Known> readKnown(MessageUnpacker in) throws IOException {
-        Map<ObjectKind, Known> known = new EnumMap<>(ObjectKind.class);
+    static Map<ObjectKind, Freshness> readFreshness(MessageUnpacker in) throws IOException {
+        Map<ObjectKind, Freshness> freshness = new EnumMap<>(ObjectKind.class);
         int kinds = in.unpackMapHeader();
         for (int i = 0; i < kinds; i++) {
             String kind = in.unpackString();
-            Known told = Known.read(in);
+            Freshness received = Freshness.read(in);
             // Nodes of a later version may send kinds that are unknown here.
             if (KINDS.containsKey(kind)) {
-                known.put(KINDS.get(kind), told);
+                freshness.put(KINDS.get(kind), received);
             }
         }
-        return known;
+        return freshness;
     }
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeUse.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeUsage.java
@@ -15,26 +15,26 @@
  * @param load number of requests at each runner, by the {@link org.parsleydrift.registry.RunnerKey} of its incarnation
  * @param teams usage of the teams' quotas
  */
-record NodeUse(Map<Long, Integer> load, UseReport teams) {
-    static final NodeUse NONE = new NodeUse(Map.of(), UseReport.NONE);
+record NodeUsage(Map<Long, Integer> load, UseReport teams) {
+    static final NodeUsage NONE = new NodeUsage(Map.of(), UseReport.NONE);
 
     /** Copies the map. */
-    NodeUse {
+    NodeUsage {
         load = Map.copyOf(load);
     }
 
-    NodeUse plus(NodeUse other) {
+    NodeUsage plus(NodeUsage other) {
         Map<Long, Integer> sum = new HashMap<>(load);
         other.load.forEach((runner, requests) -> sum.merge(runner, requests, Integer::sum));
-        return new NodeUse(sum, teams.plus(other.teams));
+        return new NodeUsage(sum, teams.plus(other.teams));
     }
 
     /** Subtracts the usage of one of the nodes; nothing becomes negative. */
-    NodeUse minus(NodeUse part) {
+    NodeUsage minus(NodeUsage part) {
         Map<Long, Integer> rest = new HashMap<>(load);
         part.load.forEach((runner, requests) -> rest.merge(runner, -requests, Integer::sum));
         rest.values().removeIf(each -> each <= 0);
-        return new NodeUse(rest, teams.minus(part.teams));
+        return new NodeUsage(rest, teams.minus(part.teams));
     }
 
     void write(MessagePacker out) throws IOException {
@@ -53,7 +53,7 @@
         }
     }
 
-    static NodeUse read(MessageUnpacker in) throws IOException {
+    static NodeUsage read(MessageUnpacker in) throws IOException {
         Map<Long, Integer> load = new HashMap<>();
         int runners = in.unpackMapHeader();
         for (int i = 0; i < runners; i++) {
@@ -67,7 +67,7 @@
             String team = in.unpackString();
             teams.put(team, new TeamUse(readCount(in), readCount(in), in.unpackInt(), in.unpackInt()));
         }
-        return new NodeUse(load, new UseReport(nodes, unseenMillis, teams));
+        return new NodeUsage(load, new UseReport(nodes, unseenMillis, teams));
     }
 
     private static void writeCount(MessagePacker out, Windowed count) throws IOException {
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ToldObjects.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ObjectsMessage.java
@@ -14,15 +14,15 @@
  *
  * @param kind kind of the objects
  * @param changes the objects, with the revision up to which the sender's copy is complete
- * @param newestChange revision of the sender's latest known change
- * @param ageMillis staleness of the sender's copy, ms
+ * @param latestRevision revision of the sender's latest known change
+ * @param stalenessMillis staleness of the sender's copy, ms
  */
-record ToldObjects(ObjectKind kind, ObjectChanges changes, long newestChange, long ageMillis) {
+record ObjectsMessage(ObjectKind kind, ObjectChanges changes, long latestRevision, long stalenessMillis) {
     void write(MessagePacker out) throws IOException {
         out.packString(kind.name())
                 .packLong(changes.asOf())
-                .packLong(newestChange)
-                .packLong(ageMillis);
+                .packLong(latestRevision)
+                .packLong(stalenessMillis);
         out.packArrayHeader(changes.objects().size());
         for (SharedObject each : changes.objects()) {
             out.packString(each.name()).packLong(each.revision()).packBoolean(each.deleted());
@@ -30,17 +30,17 @@
         }
     }
 
-    static ToldObjects read(MessageUnpacker in) throws IOException {
+    static ObjectsMessage read(MessageUnpacker in) throws IOException {
         ObjectKind kind = ObjectKind.valueOf(in.unpackString());
         long asOf = in.unpackLong();
-        long newestChange = in.unpackLong();
-        long ageMillis = in.unpackLong();
+        long latestRevision = in.unpackLong();
+        long stalenessMillis = in.unpackLong();
         int size = in.unpackArrayHeader();
         List<SharedObject> objects = new ArrayList<>();
         for (int i = 0; i < size; i++) {
             objects.add(new SharedObject(
                     in.unpackString(), in.unpackLong(), in.unpackBoolean(), in.readPayload(in.unpackBinaryHeader())));
         }
-        return new ToldObjects(kind, new ObjectChanges(objects, asOf), newestChange, ageMillis);
+        return new ObjectsMessage(kind, new ObjectChanges(objects, asOf), latestRevision, stalenessMillis);
     }
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ProcessParts.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ProcessContext.java
@@ -20,33 +20,33 @@
 import org.parsleydrift.wire.NetworkThreads;
 
 /** Components shared by both roles: a network thread with its event loop, the client of the platform, and metrics. */
-final class ProcessParts {
-    private static final int METRICS_CONNECTIONS = 16;
+final class ProcessContext {
+    private static final int MAX_METRICS_CONNECTIONS = 16;
 
     /** Multiplier that separates the seeds of VMs started in the same millisecond. */
-    private static final long PRIME = 1_000_003L;
+    private static final long SEED_MULTIPLIER = 1_000_003L;
 
     final RoleSettings settings;
     final NetworkThreads threads = new NetworkThreads("net", 1);
     final NetworkLoop loop = new NetworkLoop(threads, new SystemClock());
     final RandomGenerator random;
     final PrometheusMeterRegistry meters = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    final DeploymentPlugin outside;
+    final DeploymentPlugin plugin;
     final SharedObjects objects;
 
-    ProcessParts(RoleSettings settings) {
+    ProcessContext(RoleSettings settings) {
         this.settings = settings;
         // Used for tie-breaking and jitter only; a secure generator would delay the start.
-        this.random = new SplittableRandom(
-                settings.vm().hashCode() * PRIME + loop.clock().instant().toEpochMilli());
-        this.outside = ServiceLoader.load(DeploymentPlugin.class).stream()
+        this.random = new SplittableRandom(settings.vm().hashCode() * SEED_MULTIPLIER
+                + loop.clock().instant().toEpochMilli());
+        this.plugin = ServiceLoader.load(DeploymentPlugin.class).stream()
                 .map(ServiceLoader.Provider::get)
-                .filter(each -> each.name().equals(settings.outside()))
+                .filter(each -> each.name().equals(settings.plugin()))
                 .findFirst()
                 .orElseThrow(() ->
-                        new StepException(Step.CONFIGURE, "settings", "no plug-in named '" + settings.outside() + "'"));
-        this.objects = new MeteredObjects(outside.sharedObjects(new HttpClient(threads), settings.platform()), meters);
-        serve(settings.metrics(), METRICS_CONNECTIONS, exchange -> {
+                        new StepException(Step.CONFIGURE, "settings", "no plug-in named '" + settings.plugin() + "'"));
+        this.objects = new MeteredObjects(plugin.sharedObjects(new HttpClient(threads), settings.platform()), meters);
+        serve(settings.metrics(), MAX_METRICS_CONNECTIONS, exchange -> {
             if (exchange.path().equals("/metrics")) {
                 exchange.respond(200, "text/plain", meters.scrape(), Map.of());
             } else {
@@ -60,7 +60,7 @@
         return new HttpServer(threads, address.host(), address.port(), connections, handler);
     }
 
-    ObjectWatcher follow(ObjectKind kind, Duration wait, VersionedTable table, ObjectWatcher.Listener listener) {
+    ObjectWatcher createWatcher(ObjectKind kind, Duration wait, VersionedTable table, ObjectWatcher.Listener listener) {
         return new ObjectWatcher(kind, objects, loop, random, wait, table, listener);
     }
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleMain.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleMain.java
@@ -11,7 +11,7 @@
 /** Runs the role selected by the settings. SIGTERM drains it; SIGHUP reloads its settings. */
 public final class RoleMain {
     private static final Logger LOG = System.getLogger(RoleMain.class.getName());
-    private static final int USAGE = 2;
+    private static final int EXIT_USAGE = 2;
 
     private RoleMain() {}
 
@@ -23,7 +23,7 @@
     public static void main(String[] arguments) {
         if (arguments.length != 1 || arguments[0].startsWith("-")) {
             System.err.println("usage: parsleydrift-role SETTINGS.json");
-            System.exit(arguments.length == 1 && "--help".equals(arguments[0]) ? 0 : USAGE);
+            System.exit(arguments.length == 1 && "--help".equals(arguments[0]) ? 0 : EXIT_USAGE);
             return;
         }
         Path file = Path.of(arguments[0]);
@@ -39,10 +39,10 @@
 
     private static void run(Path file) throws InterruptedException {
         RoleSettings settings = RoleSettingsReader.read(file);
-        ProcessParts parts = new ProcessParts(settings);
+        ProcessContext parts = new ProcessContext(settings);
         Role role = settings.role() == RoleKind.ENTRY ? new EntryRole(parts) : new StoreRole(parts);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(role), "drain"));
-        onHangUp(() -> parts.loop.execute(() -> reload(role, file)));
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> drainAndFlush(role), "drain"));
+        onHangup(() -> parts.loop.execute(() -> reload(role, file)));
         role.start();
         LOG.log(
                 Logger.Level.INFO,
@@ -56,7 +56,7 @@
         new CountDownLatch(1).await();
     }
 
-    private static void stop(Role role) {
+    private static void drainAndFlush(Role role) {
         role.drain();
         LOG.log(Logger.Level.INFO, LogLine.of("role_stopped").toString());
         RingLoggerFinder.flush();
@@ -77,7 +77,7 @@
      * Installs a SIGHUP handler, without which the signal would end the process. Uses reflection, because the class is
      * not in a public module.
      */
-    private static void onHangUp(Runnable task) {
+    private static void onHangup(Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettings.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettings.java
@@ -17,7 +17,7 @@
  * @param directory listening address of the directory of entry nodes; entry only
  * @param metrics listening address of the metrics
  * @param platform address of the platform's object store
- * @param outside name of the plug-in for the protocols of callers, runners and platform
+ * @param plugin name of the plug-in for the protocols of callers, runners and platform
  * @param dataFolder folder for stored data; store only
  * @param firstStart whether the whole system starts for the first time, with empty disks
  * @param toleratedLosses number of store VMs whose disks may be lost at once; store only
@@ -35,7 +35,7 @@
         Optional<Address> directory,
         Address metrics,
         String platform,
-        String outside,
+        String plugin,
         Optional<Path> dataFolder,
         boolean firstStart,
         int toleratedLosses,
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettingsReader.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettingsReader.java
@@ -32,7 +32,7 @@
     private static final double DEFAULT_ALLOTMENT_WINDOW_SECONDS = 5;
 
     private final JsonNode root;
-    private final List<String> faults = new ArrayList<>();
+    private final List<String> errors = new ArrayList<>();
 
     private RoleSettingsReader(JsonNode root) {
         this.root = root;
@@ -73,14 +73,14 @@
                             + fault.getLocation().getColumnNr() + ": " + fault.getOriginalMessage());
         }
         RoleSettingsReader reader = new RoleSettingsReader(root);
-        RoleSettings settings = reader.settings();
-        if (!reader.faults.isEmpty()) {
-            throw new StepException(Step.CONFIGURE, name, String.join("; ", reader.faults));
+        RoleSettings settings = reader.readSettings();
+        if (!reader.errors.isEmpty()) {
+            throw new StepException(Step.CONFIGURE, name, String.join("; ", reader.errors));
         }
         return settings;
     }
 
-    private RoleSettings settings() {
+    private RoleSettings readSettings() {
         RoleKind role = required("role", text -> RoleKind.valueOf(text.toUpperCase(Locale.ROOT)));
         boolean entry = role == RoleKind.ENTRY;
         int toleratedLosses = role == RoleKind.STORE ? toleratedLosses() : 0;
@@ -104,33 +104,34 @@
     }
 
     private AllotmentRule allotmentRule() {
-        double window = number("allotment_window_s", DEFAULT_ALLOTMENT_WINDOW_SECONDS);
+        double window = nonNegative("allotment_window_s", DEFAULT_ALLOTMENT_WINDOW_SECONDS);
         if (window == 0) {
-            faults.add("/allotment_window_s must be greater than 0");
+            errors.add("/allotment_window_s must be greater than 0");
         }
-        return new AllotmentRule(Duration.ofMillis((long) (window * 1000)), number("allotment_slack", 0));
+        return new AllotmentRule(Duration.ofMillis((long) (window * 1000)), nonNegative("allotment_slack", 0));
     }
 
-    private double number(String field, double usual) {
+    private double nonNegative(String field, double defaultValue) {
         JsonNode value = root.path(field);
         if (value.isMissingNode()) {
-            return usual;
+            return defaultValue;
         }
         if (!value.isNumber() || value.asDouble() < 0) {
-            faults.add("/" + field + " must be a number of at least 0, got " + value);
-            return usual;
+            errors.add("/" + field + " must be a number of at least 0, got " + value);
+            return defaultValue;
         }
         return value.asDouble();
     }
 
     /** The default is the smallest number of members that keeps a majority after the tolerated losses. */
-    private int storeMembers(int least) {
+    private int storeMembers(int minimum) {
         JsonNode value = root.path("store_members");
         if (value.isMissingNode()) {
-            return least;
+            return minimum;
         }
-        if (!value.isIntegralNumber() || value.asInt() < least) {
-            faults.add("/store_members must be an integer of at least " + least + " for the tolerated losses, got " + value);
+        if (!value.isIntegralNumber() || value.asInt() < minimum) {
+            errors.add("/store_members must be an integer of at least " + minimum + " for the tolerated losses, got "
+                    + value);
         }
         return value.asInt();
     }
@@ -141,7 +142,7 @@
             return DEFAULT_TOLERATED_LOSSES;
         }
         if (!value.isIntegralNumber() || value.asInt() < 0) {
-            faults.add("/tolerated_losses must be an integer of at least 0, got " + value);
+            errors.add("/tolerated_losses must be an integer of at least 0, got " + value);
         }
         return Math.max(DEFAULT_TOLERATED_LOSSES, value.asInt());
     }
@@ -149,13 +150,13 @@
     private <T> T required(String field, Function<String, T> reader) {
         JsonNode value = root.path(field);
         if (!value.isValueNode() || value.asText().isBlank()) {
-            faults.add("/" + field + " is missing");
+            errors.add("/" + field + " is missing");
             return null;
         }
         try {
             return reader.apply(value.asText());
         } catch (IllegalArgumentException fault) {
-            faults.add("/" + field + ": " + fault.getMessage());
+            errors.add("/" + field + ": " + fault.getMessage());
             return null;
         }
     }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/StoreRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/StoreRole.java
@@ -25,22 +25,22 @@
 
     private static final int DISK_ID_BYTES = 8;
 
-    private final ProcessParts parts;
+    private final ProcessContext context;
     private final FileDurableLog log;
     private final ConversationReplica replica;
     private final ReplicaCalls calls;
     private final StoreSetController keeper;
 
-    StoreRole(ProcessParts parts) {
-        this.parts = parts;
-        RoleSettings settings = parts.settings;
+    StoreRole(ProcessContext context) {
+        this.context = context;
+        RoleSettings settings = context.settings;
         this.log = new FileDurableLog(settings.dataFolder().orElseThrow(), new SystemClock());
-        this.replica = new ConversationReplica(parts.loop, log, settings.vm(), StoreRole::freshDiskId);
-        LinkFrames frames = new LinkFrames(parts, this::receive);
-        this.calls = new ReplicaCalls(parts.loop, frames, settings.link().toString(), replica);
+        this.replica = new ConversationReplica(context.loop, log, settings.vm(), StoreRole::generateDiskId);
+        TcpFrameSender frames = new TcpFrameSender(context, this::receive);
+        this.calls = new ReplicaCalls(context.loop, frames, settings.link().toString(), replica);
         this.keeper = new StoreSetController(
-                parts.loop,
-                parts.objects,
+                context.loop,
+                context.objects,
                 replica,
                 calls,
                 settings.vm(),
@@ -51,7 +51,7 @@
     }
 
     /** Generated for empty disks only: initializing the secure generator would delay each start. */
-    private static String freshDiskId() {
+    private static String generateDiskId() {
         byte[] id = new byte[DISK_ID_BYTES];
         new SecureRandom().nextBytes(id);
         return HexFormat.of().formatHex(id);
@@ -59,12 +59,12 @@
 
     @Override
     public void start() {
-        parts.loop.execute(() -> {
+        context.loop.execute(() -> {
             replica.start(calls);
-            ObjectWatcher sets = follower(ObjectKind.STORE_SET, keeper::onSetChanged);
+            ObjectWatcher sets = createWatcher(ObjectKind.STORE_SET, keeper::onSetChanged);
             keeper.setWatchListener(sets::setWatching);
             sets.start();
-            follower(ObjectKind.RETIREMENTS, keeper::onRetirementsChanged).start();
+            createWatcher(ObjectKind.RETIREMENTS, keeper::onRetirementsChanged).start();
             keeper.start();
         });
     }
@@ -86,15 +86,15 @@
         calls.receive(frame);
     }
 
-    private ObjectWatcher follower(ObjectKind kind, Consumer<List<SharedObject>> news) {
-        return parts.follow(kind, WATCH_WAIT, new VersionedTable(), new ObjectWatcher.Listener() {
+    private ObjectWatcher createWatcher(ObjectKind kind, Consumer<List<SharedObject>> changeListener) {
+        return context.createWatcher(kind, WATCH_WAIT, new VersionedTable(), new ObjectWatcher.Listener() {
             @Override
-            public void onChanges(List<SharedObject> changed) {
-                news.accept(changed);
+            public void onChanges(List<SharedObject> changes) {
+                changeListener.accept(changes);
             }
 
             @Override
-            public void onReachabilityChanged(boolean reached) {
+            public void onReachabilityChanged(boolean reachable) {
                 // Logged by the watcher; the set does not change during an outage.
             }
         });
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/LinkFrames.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/TcpFrameSender.java
@@ -5,12 +5,12 @@
 import org.parsleydrift.wire.FrameLinks;
 
 /** Sends and receives frames between the processes of the system over TCP, at the link address of the settings. */
-final class LinkFrames implements FrameSender {
+final class TcpFrameSender implements FrameSender {
     private final FrameLinks links;
 
-    LinkFrames(ProcessParts parts, Consumer<byte[]> receiver) {
-        Address link = parts.settings.link();
-        links = new FrameLinks(parts.threads, link.host(), link.port(), receiver);
+    TcpFrameSender(ProcessContext context, Consumer<byte[]> receiver) {
+        Address link = context.settings.link();
+        links = new FrameLinks(context.threads, link.host(), link.port(), receiver);
     }
 
     @Override
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/FollowedObjects.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/WatchedObjects.java
@@ -19,53 +19,53 @@
  * Local copy of one kind of shared objects of an entry node, updated by watching the platform and from peers that are
  * ahead.
  */
-final class FollowedObjects implements FollowedKind {
+final class WatchedObjects implements WatchedKind {
     private final ObjectKind kind;
     private final VersionedTable table = new VersionedTable();
-    private final ObjectWatcher follower;
+    private final ObjectWatcher watcher;
     private final ObjectWatcher.Listener listener;
-    private Consumer<List<SharedObject>> newsTaker = news -> {};
+    private Consumer<List<SharedObject>> forwarder = news -> {};
 
-    FollowedObjects(
+    WatchedObjects(
             ObjectKind kind,
             SharedObjects objects,
             EventLoop loop,
             RandomGenerator random,
-            Duration longestWait,
+            Duration maxWatchWait,
             ObjectWatcher.Listener listener) {
         this.kind = kind;
         this.listener = listener;
-        follower = new ObjectWatcher(kind, objects, loop, random, longestWait, table, new ObjectWatcher.Listener() {
+        watcher = new ObjectWatcher(kind, objects, loop, random, maxWatchWait, table, new ObjectWatcher.Listener() {
             @Override
-            public void onChanges(List<SharedObject> news) {
-                tellNews(news);
+            public void onChanges(List<SharedObject> changes) {
+                notifyChanges(changes);
             }
 
             @Override
-            public void onReachabilityChanged(boolean reached) {
-                listener.onReachabilityChanged(reached);
+            public void onReachabilityChanged(boolean reachable) {
+                listener.onReachabilityChanged(reachable);
             }
         });
     }
 
-    private void tellNews(List<SharedObject> news) {
+    private void notifyChanges(List<SharedObject> changes) {
         // Forwarded first, so that peers receive an entry that this node's own listener fails on.
-        newsTaker.accept(news);
-        listener.onChanges(news);
+        forwarder.accept(changes);
+        listener.onChanges(changes);
     }
 
     void start() {
-        follower.start();
+        watcher.start();
     }
 
     /** Registers gauges of the latest known revision and the staleness of the copy. */
-    void measure(MeterRegistry meters) {
+    void registerGauges(MeterRegistry meters) {
         Tags tags = Tags.of("kind", kind.name());
         meters.gauge("parsleydrift.known.revision", tags, table, VersionedTable::latestRevision);
         meters.gauge(
                 "parsleydrift.known.age.seconds",
                 tags,
-                follower,
+                watcher,
                 each -> each.staleness().toMillis() / 1000.0);
     }
 
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public long newestChange() {
+    public long latestRevision() {
         return table.latestRevision();
     }
 
@@ -85,59 +85,59 @@
     }
 
     @Override
-    public void lookAtAge(Duration checkAfter) {
-        follower.checkIfStale(checkAfter);
+    public void checkIfStale(Duration maxStaleness) {
+        watcher.checkIfStale(maxStaleness);
     }
 
     @Override
-    public Duration age() {
-        return follower.staleness();
+    public Duration staleness() {
+        return watcher.staleness();
     }
 
     @Override
-    public boolean answered() {
-        return follower.isPlatformReachable();
+    public boolean isPlatformReachable() {
+        return watcher.isPlatformReachable();
     }
 
     @Override
-    public Optional<Duration> answeredAge() {
-        return follower.ownStaleness();
+    public Optional<Duration> ownStaleness() {
+        return watcher.ownStaleness();
     }
 
     @Override
-    public void completeAt(long nanos) {
-        follower.recordCompleteAt(nanos);
+    public void recordCompleteAt(long nanos) {
+        watcher.recordCompleteAt(nanos);
     }
 
     @Override
-    public void learn(ObjectChanges list, long newestChange, long completeNanos) {
+    public void applyList(ObjectChanges list, long latestRevision, long completeNanos) {
         // Must precede the update: removals during an outage that ends here are treated as expired entries, not as
         // runners that left.
-        follower.recordCompleteAt(completeNanos);
-        List<SharedObject> news = table.replace(list);
-        table.advanceLatestRevision(newestChange);
-        tellNews(news);
+        watcher.recordCompleteAt(completeNanos);
+        List<SharedObject> applied = table.replace(list);
+        table.advanceLatestRevision(latestRevision);
+        notifyChanges(applied);
         // The watch of this node is behind its peers and may be dead.
-        follower.restart();
+        watcher.restart();
     }
 
     @Override
-    public void learnChanges(ObjectChanges changes, long newestChange, long completeNanos) {
-        follower.recordCompleteAt(completeNanos);
-        List<SharedObject> news = table.apply(changes);
-        table.advanceLatestRevision(newestChange);
-        if (!news.isEmpty()) {
-            tellNews(news);
+    public void applyChanges(ObjectChanges changes, long latestRevision, long completeNanos) {
+        watcher.recordCompleteAt(completeNanos);
+        List<SharedObject> applied = table.apply(changes);
+        table.advanceLatestRevision(latestRevision);
+        if (!applied.isEmpty()) {
+            notifyChanges(applied);
         }
     }
 
     @Override
-    public void follow(boolean watches) {
-        follower.setWatching(watches);
+    public void setWatching(boolean enabled) {
+        watcher.setWatching(enabled);
     }
 
     @Override
-    public void onNews(Consumer<List<SharedObject>> taker) {
-        newsTaker = taker;
+    public void setChangeListener(Consumer<List<SharedObject>> listener) {
+        forwarder = listener;
     }
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ZoneHub.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ZoneHub.java
@@ -16,9 +16,9 @@
 final class ZoneHub {
     static final byte ZONES = 16;
     /** Rounds between summaries that list the members, for nodes that missed the last list. */
-    private static final int NAMES_EVERY = 3;
+    private static final int NAMES_ROUNDS = 3;
     /** Rounds between summaries that include the addresses of the members, for nodes that do not know them yet. */
-    private static final int ADDRESSES_EVERY = 10;
+    private static final int ADDRESSES_ROUNDS = 10;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -42,36 +42,39 @@
      * @param own state of this node
      * @param probing whether the round also goes to nodes that have timed out, which may have restarted without knowing
      *     any peer
-     * @param mates nodes of this zone that this node hears directly, ordered by name
+     * @param zonePeers nodes of this zone that this node hears directly, ordered by name
      * @param now time on the clock, ns
      */
-    void tell(MeshPlan plan, NodeState own, boolean probing, List<MeshPeer> mates, long now) {
+    void sendSummaries(MeshPlan plan, NodeState own, boolean probing, List<MeshPeer> zonePeers, long now) {
         round++;
-        ZoneSummary summary = summary(own, mates, now);
+        ZoneSummary summary = summary(own, zonePeers, now);
         // A node that has just started may not know any other node or zone.
         boolean changed = !summary.members().equals(Optional.of(lastMembers));
         lastMembers = summary.members().orElseThrow();
         ZoneSummary.Detail detail = changed ? ZoneSummary.Detail.ADDRESSES : detail();
-        ZoneSummary told = summary.with(probing ? ZoneSummary.Detail.ADDRESSES : detail);
-        send(plan.zone(), List.of(told));
-        Stream<ZoneSummary> others = zones.toPassOn(self.zone(), detail, now).stream();
-        send(plan.all(), Stream.concat(Stream.of(told), others).toList());
+        ZoneSummary detailed = summary.withDetail(probing ? ZoneSummary.Detail.ADDRESSES : detail);
+        send(plan.summaryReceivers(), List.of(detailed));
+        Stream<ZoneSummary> others = zones.summariesToForward(self.zone(), detail, now).stream();
+        send(
+                plan.allSummariesReceivers(),
+                Stream.concat(Stream.of(detailed), others).toList());
     }
 
     private ZoneSummary.Detail detail() {
-        if (round % ADDRESSES_EVERY == 1) {
+        if (round % ADDRESSES_ROUNDS == 1) {
             return ZoneSummary.Detail.ADDRESSES;
         }
-        return round % NAMES_EVERY == 0 ? ZoneSummary.Detail.NAMES : ZoneSummary.Detail.NONE;
+        return round % NAMES_ROUNDS == 0 ? ZoneSummary.Detail.NAMES : ZoneSummary.Detail.NONE;
     }
 
-    private ZoneSummary summary(NodeState own, List<MeshPeer> mates, long now) {
+    private ZoneSummary summary(NodeState own, List<MeshPeer> zonePeers, long now) {
         List<NodeState> states = Stream.concat(
-                        Stream.of(own), mates.stream().map(each -> each.state().orElseThrow()))
+                        Stream.of(own),
+                        zonePeers.stream().map(each -> each.state().orElseThrow()))
                 .toList();
         List<ZoneSummary.Member> members = Stream.concat(
                         Stream.of(member(self, own)),
-                        mates.stream()
+                        zonePeers.stream()
                                 .map(each -> member(each.identity, each.state().orElseThrow())))
                 .toList();
         if (!members.equals(lastMembers)) {
@@ -84,8 +87,8 @@
                 version,
                 Optional.of(members),
                 states.stream().map(NodeState::round).toList(),
-                known(own, mates, now),
-                states.stream().map(NodeState::use).reduce(NodeUse.NONE, NodeUse::plus));
+                zoneFreshness(own, zonePeers, now),
+                states.stream().map(NodeState::usage).reduce(NodeUsage.NONE, NodeUsage::plus));
     }
 
     private static ZoneSummary.Member member(NodeIdentity identity, NodeState state) {
@@ -94,26 +97,27 @@
     }
 
     /** Returns the latest revision that any node of the zone knows, and the lowest staleness, by kind. */
-    private static Map<ObjectKind, NodeState.Known> known(NodeState own, List<MeshPeer> mates, long now) {
-        Map<ObjectKind, NodeState.Known> known = new EnumMap<>(ObjectKind.class);
-        known.putAll(own.known());
-        mates.forEach(each -> {
-            long age = (now - each.saidNanos()) / NANOS_PER_MILLI;
+    private static Map<ObjectKind, NodeState.Freshness> zoneFreshness(
+            NodeState own, List<MeshPeer> zonePeers, long now) {
+        Map<ObjectKind, NodeState.Freshness> freshness = new EnumMap<>(ObjectKind.class);
+        freshness.putAll(own.freshness());
+        zonePeers.forEach(each -> {
+            long age = (now - each.stateNanos()) / NANOS_PER_MILLI;
             each.state()
                     .orElseThrow()
-                    .known()
-                    .forEach((kind, theirs) -> known.merge(kind, theirs.later(age), NodeState.Known::newest));
+                    .freshness()
+                    .forEach((kind, theirs) -> freshness.merge(kind, theirs.agedBy(age), NodeState.Freshness::merge));
         });
-        return known;
+        return freshness;
     }
 
-    private void send(List<NodeIdentity> receivers, List<ZoneSummary> told) {
+    private void send(List<NodeIdentity> receivers, List<ZoneSummary> summaries) {
         if (receivers.isEmpty()) {
             return;
         }
         byte[] frame = MessagePackFrames.encode(out -> {
-            out.packByte(ZONES).packString(self.name()).packArrayHeader(told.size());
-            for (ZoneSummary each : told) {
+            out.packByte(ZONES).packString(self.name()).packArrayHeader(summaries.size());
+            for (ZoneSummary each : summaries) {
                 each.write(out);
             }
         });
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ZoneSummaries.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ZoneSummaries.java
@@ -16,12 +16,12 @@
 final class ZoneSummaries {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    private final Map<String, Heard> zones = new TreeMap<>();
-    private final Map<String, Long> toldVersions = new HashMap<>();
+    private final Map<String, Received> zones = new TreeMap<>();
+    private final Map<String, Long> sentVersions = new HashMap<>();
 
     /** Received summary, the members that are valid for it, and the time at which it was created. */
-    record Heard(ZoneSummary summary, Optional<List<ZoneSummary.Member>> members, long saidNanos) {
-        private boolean sameHub(ZoneSummary other) {
+    record Received(ZoneSummary summary, Optional<List<ZoneSummary.Member>> members, long createdNanos) {
+        private boolean hasSameHub(ZoneSummary other) {
             return summary.hub().equals(other.hub());
         }
 
@@ -29,47 +29,49 @@
          * Returns the members that the same hub no longer lists. A new hub may not have heard all members yet, so a
          * change of the hub yields none.
          */
-        Set<String> leftBefore(Heard now) {
-            if (!sameHub(now.summary()) || members.isEmpty() || now.members().isEmpty()) {
+        Set<String> departedBefore(Received next) {
+            if (!hasSameHub(next.summary())
+                    || members.isEmpty()
+                    || next.members().isEmpty()) {
                 return Set.of();
             }
-            Set<String> left =
+            Set<String> departed =
                     members.get().stream().map(ZoneSummary.Member::name).collect(Collectors.toSet());
-            now.members().get().forEach(each -> left.remove(each.name()));
-            return left;
+            next.members().get().forEach(each -> departed.remove(each.name()));
+            return departed;
         }
     }
 
     /**
      * Applies a summary if it is newer than the known one of its zone.
      *
-     * @param told the summary
-     * @param saidNanos time at which it was created, ns
+     * @param summary the summary
+     * @param createdNanos time at which it was created, ns
      * @return the state of the zone after the update; empty if the summary is outdated
      */
-    Optional<Heard> take(ZoneSummary told, long saidNanos) {
-        Heard known = zones.get(told.zone());
-        if (known != null && saidNanos - known.saidNanos() <= 0) {
+    Optional<Received> apply(ZoneSummary summary, long createdNanos) {
+        Received known = zones.get(summary.zone());
+        if (known != null && createdNanos - known.createdNanos() <= 0) {
             return Optional.empty();
         }
         boolean sameMembers =
-                known != null && known.sameHub(told) && known.summary().version() == told.version();
+                known != null && known.hasSameHub(summary) && known.summary().version() == summary.version();
         // A list with addresses is kept, because it is forwarded to other nodes, which may not know the addresses.
-        boolean keep = sameMembers && known.members().isPresent() && !told.namesAddresses();
-        Optional<List<ZoneSummary.Member>> members = keep ? known.members() : told.members();
-        Heard heard = new Heard(told, members, saidNanos);
-        zones.put(told.zone(), heard);
-        return Optional.of(heard);
+        boolean keep = sameMembers && known.members().isPresent() && !summary.hasAddresses();
+        Optional<List<ZoneSummary.Member>> members = keep ? known.members() : summary.members();
+        Received received = new Received(summary, members, createdNanos);
+        zones.put(summary.zone(), received);
+        return Optional.of(received);
     }
 
-    Optional<Heard> of(String zone) {
+    Optional<Received> of(String zone) {
         return Optional.ofNullable(zones.get(zone));
     }
 
     /** Removes summaries older than a limit; returns their zones. */
-    List<String> forgetOlder(Duration limit, long now) {
+    List<String> removeOlderThan(Duration limit, long now) {
         List<String> old = zones.entrySet().stream()
-                .filter(each -> now - each.getValue().saidNanos() > limit.toNanos())
+                .filter(each -> now - each.getValue().createdNanos() > limit.toNanos())
                 .map(Map.Entry::getKey)
                 .toList();
         old.forEach(zones::remove);
@@ -80,21 +82,22 @@
      * Returns the summaries of all zones but one, for forwarding. Members that have changed are included at any level
      * of detail.
      */
-    List<ZoneSummary> toPassOn(String except, ZoneSummary.Detail detail, long now) {
+    List<ZoneSummary> summariesToForward(String except, ZoneSummary.Detail detail, long now) {
         return zones.values().stream()
                 .filter(each -> !each.summary().zone().equals(except))
                 .map(each -> {
                     ZoneSummary summary = each.summary();
-                    boolean changed = versionIsNews(summary.zone() + "/" + summary.hub(), summary.version());
-                    ZoneSummary.Detail told = changed ? ZoneSummary.Detail.ADDRESSES : detail;
-                    return summary.passedOn(each.members(), told, (now - each.saidNanos()) / NANOS_PER_MILLI);
+                    boolean changed = isUnsentVersion(summary.zone() + "/" + summary.hub(), summary.version());
+                    ZoneSummary.Detail included = changed ? ZoneSummary.Detail.ADDRESSES : detail;
+                    return summary.forForwarding(
+                            each.members(), included, (now - each.createdNanos()) / NANOS_PER_MILLI);
                 })
                 .toList();
     }
 
     /** Whether this version of the members has not been sent yet. */
-    private boolean versionIsNews(String origin, long version) {
-        Long former = toldVersions.put(origin, version);
+    private boolean isUnsentVersion(String origin, long version) {
+        Long former = sentVersions.put(origin, version);
         return former == null || former != version;
     }
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ZoneSummary.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ZoneSummary.java
@@ -19,8 +19,8 @@
  * @param version version of the members; increases with each change
  * @param members nodes that the hub hears; empty if unchanged since the last list
  * @param rounds round of each member's latest state, in the order of the members
- * @param known latest revision and lowest staleness in the zone, by kind
- * @param use sum of the usage of all members
+ * @param freshness latest revision and lowest staleness in the zone, by kind
+ * @param usage sum of the usage of all members
  */
 record ZoneSummary(
         String zone,
@@ -29,13 +29,13 @@
         long version,
         Optional<List<Member>> members,
         List<Integer> rounds,
-        Map<ObjectKind, NodeState.Known> known,
-        NodeUse use) {
+        Map<ObjectKind, NodeState.Freshness> freshness,
+        NodeUsage usage) {
     /** Copies the collections. */
     ZoneSummary {
         members = members.map(List::copyOf);
         rounds = List.copyOf(rounds);
-        known = Map.copyOf(known);
+        freshness = Map.copyOf(freshness);
     }
 
     /**
@@ -65,7 +65,7 @@
             return new Member(name, identity, in.unpackBoolean(), in.unpackBoolean(), in.unpackBoolean());
         }
 
-        private Member nameOnly() {
+        private Member withoutAddresses() {
             return new Member(name, Optional.empty(), ready, reachesStores, reachesPlatform);
         }
     }
@@ -81,34 +81,37 @@
     /**
      * Returns the summary for forwarding to another zone, without the rounds, which only the members' own zone needs.
      */
-    ZoneSummary passedOn(Optional<List<Member>> heard, Detail detail, long age) {
-        return new ZoneSummary(zone, hub, age, version, detailed(heard, detail), List.of(), known, use);
+    ZoneSummary forForwarding(Optional<List<Member>> received, Detail detail, long age) {
+        return new ZoneSummary(
+                zone, hub, age, version, membersWithDetail(received, detail), List.of(), freshness, usage);
     }
 
     /** Returns the summary with the members at a level of detail. */
-    ZoneSummary with(Detail detail) {
-        return new ZoneSummary(zone, hub, ageMillis, version, detailed(members, detail), rounds, known, use);
+    ZoneSummary withDetail(Detail detail) {
+        return new ZoneSummary(
+                zone, hub, ageMillis, version, membersWithDetail(members, detail), rounds, freshness, usage);
     }
 
     /** Whether any member includes its addresses. */
-    boolean namesAddresses() {
+    boolean hasAddresses() {
         return members.stream()
                 .flatMap(List::stream)
                 .anyMatch(each -> each.identity().isPresent());
     }
 
     /** Whether another summary differs in its age, rounds and staleness only. */
-    boolean saysTheSame(ZoneSummary other) {
+    boolean isEquivalent(ZoneSummary other) {
         return hub.equals(other.hub)
                 && version == other.version
-                && use.equals(other.use)
-                && NodeState.newestChanges(known).equals(NodeState.newestChanges(other.known));
+                && usage.equals(other.usage)
+                && NodeState.latestRevisions(freshness).equals(NodeState.latestRevisions(other.freshness));
     }
 
-    private static Optional<List<Member>> detailed(Optional<List<Member>> members, Detail detail) {
+    private static Optional<List<Member>> membersWithDetail(Optional<List<Member>> members, Detail detail) {
         return switch (detail) {
             case NONE -> Optional.empty();
-            case NAMES -> members.map(all -> all.stream().map(Member::nameOnly).toList());
+            case NAMES ->
+                members.map(all -> all.stream().map(Member::withoutAddresses).toList());
             case ADDRESSES -> members;
         };
     }
@@ -126,8 +129,8 @@
         for (int each : rounds) {
             out.packInt(each);
         }
-        NodeState.writeKnown(out, known);
-        use.write(out);
+        NodeState.writeFreshness(out, freshness);
+        usage.write(out);
     }
 
     static ZoneSummary read(MessageUnpacker in) throws IOException {
@@ -142,7 +145,7 @@
             rounds.add(in.unpackInt());
         }
         return new ZoneSummary(
-                zone, hub, ageMillis, version, members, rounds, NodeState.readKnown(in), NodeUse.read(in));
+                zone, hub, ageMillis, version, members, rounds, NodeState.readFreshness(in), NodeUsage.read(in));
     }
 
     private static List<Member> readMembers(MessageUnpacker in) throws IOException {
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/CallerSpreadTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/CallerSpreadTest.java
@@ -17,7 +17,7 @@
     /** Minimum number of advertised nodes: a third of the fleet, rounded up per zone. */
     private static final int LEAST = 24;
 
-    private final CallerSpread spread = new CallerSpread();
+    private final AdvertisedNodeSelector spread = new AdvertisedNodeSelector();
 
     private static List<NodeIdentity> nodes(int count) {
         return IntStream.range(0, count)
@@ -28,7 +28,7 @@
 
     @Test
     public void aSmallFleetIsNamedWhole() {
-        assertEquals(spread.named(nodes(16)), nodes(16));
+        assertEquals(spread.select(nodes(16)), nodes(16));
     }
 
     /**
@@ -36,8 +36,8 @@
      */
     @Test
     public void aLargeFleetIsNamedAsTheLoadNeeds() {
-        spread.load(120, 0);
-        List<NodeIdentity> named = spread.named(nodes(FLEET));
+        spread.recordLoad(120, 0);
+        List<NodeIdentity> named = spread.select(nodes(FLEET));
         assertEquals(named.size(), LEAST);
         assertTrue(
                 named.stream()
@@ -53,15 +53,15 @@
      */
     @Test
     public void moreAreNamedAtOnceAndFewerAfterAWhile() {
-        spread.load(120, 0);
-        spread.load(360, 1);
-        assertEquals(spread.named(nodes(FLEET)).size(), 45);
-        spread.load(120, Duration.ofSeconds(1).toNanos());
-        assertEquals(spread.named(nodes(FLEET)).size(), 45);
-        spread.load(120, CallerSpread.HELD.toNanos() + 2);
-        assertEquals(spread.named(nodes(FLEET)).size(), LEAST);
-        spread.load(10_000, CallerSpread.HELD.toNanos() + 3);
-        assertEquals(spread.named(nodes(FLEET)).size(), FLEET);
+        spread.recordLoad(120, 0);
+        spread.recordLoad(360, 1);
+        assertEquals(spread.select(nodes(FLEET)).size(), 45);
+        spread.recordLoad(120, Duration.ofSeconds(1).toNanos());
+        assertEquals(spread.select(nodes(FLEET)).size(), 45);
+        spread.recordLoad(120, AdvertisedNodeSelector.PEAK_RETENTION.toNanos() + 2);
+        assertEquals(spread.select(nodes(FLEET)).size(), LEAST);
+        spread.recordLoad(10_000, AdvertisedNodeSelector.PEAK_RETENTION.toNanos() + 3);
+        assertEquals(spread.select(nodes(FLEET)).size(), FLEET);
     }
 
     /** Guards against leaving out the nodes of a zone that has fewer than its share. */
@@ -70,6 +70,6 @@
         List<NodeIdentity> ready = nodes(FLEET).stream()
                 .filter(each -> !each.zone().equals("z0") || each.name().equals("n63"))
                 .toList();
-        assertTrue(spread.named(ready).stream().anyMatch(each -> each.name().equals("n63")));
+        assertTrue(spread.select(ready).stream().anyMatch(each -> each.name().equals("n63")));
     }
 }
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/KnowledgeAfterSilenceTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/KnowledgeAfterSilenceTest.java
@@ -110,7 +110,7 @@
         Duration silence = Duration.ofSeconds(10);
         fleet.time.advance(silence);
         fleet.members.values().forEach(each -> {
-            Duration age = each.following.get(ObjectKind.MANIFEST).age();
+            Duration age = each.following.get(ObjectKind.MANIFEST).staleness();
             assertTrue(age.compareTo(silence) >= 0, each.identity.name() + " has staleness " + age);
             assertEquals(each.silences, 2, "outages detected, of two kinds");
         });
@@ -125,10 +125,10 @@
         fleet.add(fleet.members.size(), 99);
         fleet.members
                 .values()
-                .forEach(each -> fleet.members.values().forEach(other -> each.mesh.known(other.identity)));
+                .forEach(each -> fleet.members.values().forEach(other -> each.mesh.addPeer(other.identity)));
         fleet.time.advance(Duration.ofSeconds(1));
         Duration age =
-                fleet.members.get("n00").following.get(ObjectKind.MANIFEST).age();
+                fleet.members.get("n00").following.get(ObjectKind.MANIFEST).staleness();
         assertTrue(age.compareTo(Duration.ofSeconds(6)) >= 0, "staleness " + age);
     }
 
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshBytesTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshBytesTest.java
@@ -25,7 +25,7 @@
             String name = "z%02d-%02d".formatted(number % ZONES, number / ZONES);
             members.put(name, new MeshMember(time, members, name, "z%02d".formatted(number % ZONES)));
         });
-        members.values().forEach(each -> members.values().forEach(other -> each.mesh.known(other.identity)));
+        members.values().forEach(each -> members.values().forEach(other -> each.mesh.addPeer(other.identity)));
         time.advance(Duration.ofSeconds(3));
         members.values().forEach(each -> each.heardBytes = 0);
         Duration span = Duration.ofSeconds(4);
@@ -37,6 +37,6 @@
                 .findFirst()
                 .orElseThrow();
         assertTrue(median <= MOST_BYTES, median + " bytes/s");
-        members.values().forEach(each -> assertTrue(each.mesh.hearsAnyone()));
+        members.values().forEach(each -> assertTrue(each.mesh.hasDirectPeers()));
     }
 }
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshFleet.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshFleet.java
@@ -33,7 +33,7 @@
 
     /** Introduces all nodes to each other. */
     void introduce() {
-        members.values().forEach(each -> members.values().forEach(other -> each.mesh.known(other.identity)));
+        members.values().forEach(each -> members.values().forEach(other -> each.mesh.addPeer(other.identity)));
     }
 
     void add(int number, long seed) {
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshMember.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshMember.java
@@ -32,7 +32,7 @@
     final NodeIdentity identity;
     final VersionedTable runners = new VersionedTable();
     final Map<ObjectKind, Long> newest = new EnumMap<>(ObjectKind.class);
-    final Map<ObjectKind, FollowedObjects> following = new EnumMap<>(ObjectKind.class);
+    final Map<ObjectKind, WatchedObjects> following = new EnumMap<>(ObjectKind.class);
     int silences;
     final List<SharedObject> learned = new ArrayList<>();
     final NodeMesh mesh;
@@ -90,7 +90,7 @@
                 loop,
                 sender(),
                 identity,
-                new FleetUse(dispatcher, allotments),
+                new FleetUsage(dispatcher, allotments),
                 () -> ready,
                 () -> reachesStores,
                 random,
@@ -105,14 +105,14 @@
         loop.kill();
     }
 
-    private Map<ObjectKind, FollowedKind> following(SharedObjects platform) {
+    private Map<ObjectKind, WatchedKind> following(SharedObjects platform) {
         return Stream.of(ObjectKind.RUNNERS, ObjectKind.MANIFEST)
                 .collect(Collectors.toMap(kind -> kind, kind -> followed(kind, platform)));
     }
 
-    private FollowedObjects followed(ObjectKind kind, SharedObjects platform) {
-        FollowedObjects objects =
-                new FollowedObjects(kind, platform, loop, random, EntryRole.WATCH_WAIT, new ObjectWatcher.Listener() {
+    private WatchedObjects followed(ObjectKind kind, SharedObjects platform) {
+        WatchedObjects objects =
+                new WatchedObjects(kind, platform, loop, random, EntryRole.WATCH_WAIT, new ObjectWatcher.Listener() {
                     @Override
                     public void onChanges(List<SharedObject> news) {
                         news.forEach(each -> newest.merge(kind, each.revision(), Math::max));
@@ -145,15 +145,15 @@
         };
     }
 
-    private FollowedKind followed() {
-        return new FollowedKind() {
+    private WatchedKind followed() {
+        return new WatchedKind() {
             @Override
             public long asOf() {
                 return runners.asOf();
             }
 
             @Override
-            public long newestChange() {
+            public long latestRevision() {
                 return runners.latestRevision();
             }
 
@@ -163,40 +163,40 @@
             }
 
             @Override
-            public void lookAtAge(Duration checkAfter) {}
+            public void checkIfStale(Duration checkAfter) {}
 
             @Override
-            public Duration age() {
+            public Duration staleness() {
                 return Duration.ZERO;
             }
 
             @Override
-            public boolean answered() {
+            public boolean isPlatformReachable() {
                 return true;
             }
 
             @Override
-            public Optional<Duration> answeredAge() {
+            public Optional<Duration> ownStaleness() {
                 return Optional.empty();
             }
 
             @Override
-            public void completeAt(long nanos) {}
+            public void recordCompleteAt(long nanos) {}
 
             @Override
-            public void follow(boolean watches) {}
+            public void setWatching(boolean watches) {}
 
             @Override
-            public void onNews(Consumer<List<SharedObject>> taker) {}
+            public void setChangeListener(Consumer<List<SharedObject>> taker) {}
 
             @Override
-            public void learnChanges(ObjectChanges changes, long newestChange, long completeNanos) {
+            public void applyChanges(ObjectChanges changes, long newestChange, long completeNanos) {
                 learned.addAll(runners.apply(changes));
                 runners.advanceLatestRevision(newestChange);
             }
 
             @Override
-            public void learn(ObjectChanges list, long newestChange, long completeNanos) {
+            public void applyList(ObjectChanges list, long newestChange, long completeNanos) {
                 learned.addAll(runners.replace(list));
                 runners.advanceLatestRevision(newestChange);
             }
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshPlanTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshPlanTest.java
@@ -32,53 +32,56 @@
 
     @Test
     public void fewNodesTellEachOther() {
-        List<Neighbour> peers = others("a3", name -> true).subList(0, MeshPlan.DIRECT_PEERS);
+        List<Neighbour> peers = others("a3", name -> true).subList(0, MeshPlan.MAX_FULL_MESH_PEERS);
         MeshPlan plan = MeshPlan.of(node("a3"), peers, false, false);
-        assertEquals(plan.own().size(), MeshPlan.DIRECT_PEERS);
-        assertTrue(plan.zone().isEmpty() && plan.all().isEmpty());
+        assertEquals(plan.stateReceivers().size(), MeshPlan.MAX_FULL_MESH_PEERS);
+        assertTrue(plan.summaryReceivers().isEmpty()
+                && plan.allSummariesReceivers().isEmpty());
     }
 
     @Test
     public void aMemberTellsItsHubOnly() {
         MeshPlan plan = MeshPlan.of(node("a3"), others("a3", name -> true, "a0"), false, false);
-        assertEquals(names(plan.own()), List.of("a0"));
-        assertTrue(plan.zone().isEmpty() && plan.all().isEmpty());
+        assertEquals(names(plan.stateReceivers()), List.of("a0"));
+        assertTrue(plan.summaryReceivers().isEmpty()
+                && plan.allSummariesReceivers().isEmpty());
     }
 
     @Test
     public void theFirstOfAZoneIsItsHub() {
         MeshPlan plan = MeshPlan.of(node("a0"), others("a0", name -> true, "a1", "a2", "b0"), false, false);
-        assertTrue(plan.own().isEmpty());
-        assertEquals(names(plan.zone()), List.of("b0", "b1"));
-        assertEquals(plan.all().size(), 9);
+        assertTrue(plan.stateReceivers().isEmpty());
+        assertEquals(names(plan.summaryReceivers()), List.of("b0", "b1"));
+        assertEquals(plan.allSummariesReceivers().size(), 9);
     }
 
     /** Guards against losing a node's state while its hub has failed and others still forward the hub's last state. */
     @Test
     public void aSilentHubAndItsSuccessorAreBothTold() {
         MeshPlan plan = MeshPlan.of(node("a3"), others("a3", name -> true, "a1", "a2"), false, false);
-        assertEquals(names(plan.own()), List.of("a0", "a1"));
+        assertEquals(names(plan.stateReceivers()), List.of("a0", "a1"));
         MeshPlan later = MeshPlan.of(node("a3"), others("a3", name -> !name.equals("a0"), "a1", "a2"), false, false);
-        assertEquals(names(later.own()), List.of("a1"));
+        assertEquals(names(later.stateReceivers()), List.of("a1"));
     }
 
     /** A node that hears no node before itself, or that others treat as their hub, acts as a hub. */
     @Test
     public void whoHearsNoHubActsAsOne() {
         MeshPlan alone = MeshPlan.of(node("a3"), others("a3", name -> false), false, false);
-        assertTrue(alone.own().isEmpty() && alone.all().isEmpty());
-        assertEquals(names(alone.zone()), List.of("b0", "b1"));
+        assertTrue(alone.stateReceivers().isEmpty()
+                && alone.allSummariesReceivers().isEmpty());
+        assertEquals(names(alone.summaryReceivers()), List.of("b0", "b1"));
         MeshPlan asked = MeshPlan.of(node("a3"), others("a3", name -> true, "a0"), true, false);
-        assertEquals(names(asked.own()), List.of("a0"));
-        assertEquals(asked.all().size(), 9);
+        assertEquals(names(asked.stateReceivers()), List.of("a0"));
+        assertEquals(asked.allSummariesReceivers().size(), 9);
     }
 
     /** Guards against never reaching a restarted node that knows no peers. */
     @Test
     public void silentNodesAreTriedNowAndThen() {
         MeshPlan plan = MeshPlan.of(node("a0"), others("a0", name -> !name.equals("a5"), "a1"), false, false);
-        assertEquals(plan.all().size(), 8);
+        assertEquals(plan.allSummariesReceivers().size(), 8);
         MeshPlan probing = MeshPlan.of(node("a0"), others("a0", name -> !name.equals("a5"), "a1"), false, true);
-        assertEquals(probing.all().size(), 9);
+        assertEquals(probing.allSummariesReceivers().size(), 9);
     }
 }
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/NodeMeshAtScaleTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/NodeMeshAtScaleTest.java
@@ -28,7 +28,7 @@
         time = new ManualScheduler();
         members = new TreeMap<>();
         IntStream.range(0, NODES).forEach(this::add);
-        members.values().forEach(each -> members.values().forEach(other -> each.mesh.known(other.identity)));
+        members.values().forEach(each -> members.values().forEach(other -> each.mesh.addPeer(other.identity)));
         time.advance(Duration.ofSeconds(3));
     }
 
@@ -83,7 +83,7 @@
     public void aStoppingNodeIsLeftOutEverywhere() {
         MeshMember stopping = members.get("z2-11");
         stopping.ready = false;
-        stopping.mesh.tellNow();
+        stopping.mesh.sendNow();
         time.advance(Duration.ofMillis(330));
         members.values().forEach(each -> assertFalse(ready(each).contains(stopping.identity.callers())));
     }
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/NodeMeshTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/NodeMeshTest.java
@@ -23,7 +23,7 @@
         time = new ManualScheduler();
         members = new HashMap<>();
         List.of("a", "b").forEach(name -> members.put(name, new MeshMember(time, members, name, "zone")));
-        members.get("a").mesh.known(members.get("b").identity);
+        members.get("a").mesh.addPeer(members.get("b").identity);
         time.advance(Duration.ofSeconds(1));
     }
 
@@ -61,7 +61,7 @@
         MeshMember b = members.get("b");
         assertEquals(a.mesh.readyAddresses(), List.of("a:80", "b:80"));
         b.ready = false;
-        b.mesh.tellNow();
+        b.mesh.sendNow();
         time.advance(Duration.ofMillis(5));
         assertEquals(a.mesh.readyAddresses(), List.of("a:80"));
         b.ready = true;
@@ -76,9 +76,9 @@
     @Test
     public void namesAPeerThatReachesTheStores() {
         MeshMember a = members.get("a");
-        assertEquals(a.mesh.peerThatReachesStores(), Optional.of("b"));
+        assertEquals(a.mesh.findPeerReachingStores(), Optional.of("b"));
         members.get("b").reachesStores = false;
         time.advance(Duration.ofMillis(500));
-        assertEquals(a.mesh.peerThatReachesStores(), Optional.empty());
+        assertEquals(a.mesh.findPeerReachingStores(), Optional.empty());
     }
 }
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/ZoneSummariesTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/ZoneSummariesTest.java
@@ -31,8 +31,8 @@
                 use(load));
     }
 
-    private static NodeUse use(int load) {
-        return new NodeUse(Map.of(RUNNER, load), UseReport.NONE);
+    private static NodeUsage use(int load) {
+        return new NodeUsage(Map.of(RUNNER, load), UseReport.NONE);
     }
 
     private static Optional<List<String>> names(String... names) {
@@ -42,52 +42,52 @@
     /** Guards against counting a node's own load twice when its hub's sum contains an earlier value of it. */
     @Test
     public void aNodeTakesItsOwnLoadOutOfTheSum() {
-        ToldUse told = new ToldUse();
-        told.told(1, use(3));
-        told.told(2, use(1));
+        SentUsageHistory told = new SentUsageHistory();
+        told.record(1, use(3));
+        told.record(2, use(1));
         ZoneSummaries zones = new ZoneSummaries();
-        ZoneSummaries.Heard heard =
-                zones.take(summary("a", 1, names("a", "b"), 8, 40, 1), 100).orElseThrow();
-        assertEquals(told.othersIn(heard, "b"), use(5));
-        ZoneSummaries.Heard newer =
-                zones.take(summary("a", 1, Optional.empty(), 8, 41, 2), 200).orElseThrow();
-        assertEquals(told.othersIn(newer, "b"), use(7));
-        assertEquals(told.othersIn(newer, "c"), use(8));
+        ZoneSummaries.Received heard =
+                zones.apply(summary("a", 1, names("a", "b"), 8, 40, 1), 100).orElseThrow();
+        assertEquals(told.usageOfOthers(heard, "b"), use(5));
+        ZoneSummaries.Received newer =
+                zones.apply(summary("a", 1, Optional.empty(), 8, 41, 2), 200).orElseThrow();
+        assertEquals(told.usageOfOthers(newer, "b"), use(7));
+        assertEquals(told.usageOfOthers(newer, "c"), use(8));
     }
 
     /** Summaries arrive through several hubs and out of order; older ones must be ignored. */
     @Test
     public void anOlderSummaryIsPassedOver() {
         ZoneSummaries zones = new ZoneSummaries();
-        assertTrue(zones.take(summary("a", 1, names("a", "b"), 8, 1, 1), 200).isPresent());
-        assertFalse(zones.take(summary("a", 1, names("a"), 2, 1), 150).isPresent());
-        assertEquals(zones.of("z").orElseThrow().summary().use(), use(8));
+        assertTrue(zones.apply(summary("a", 1, names("a", "b"), 8, 1, 1), 200).isPresent());
+        assertFalse(zones.apply(summary("a", 1, names("a"), 2, 1), 150).isPresent());
+        assertEquals(zones.of("z").orElseThrow().summary().usage(), use(8));
     }
 
     /** Guards against removing live nodes when a new hub has not heard all members of its zone yet. */
     @Test
     public void onlyTheSameHubSaysWhoHasLeft() {
         ZoneSummaries zones = new ZoneSummaries();
-        ZoneSummaries.Heard first =
-                zones.take(summary("a", 1, names("a", "b", "c"), 0), 100).orElseThrow();
-        ZoneSummaries.Heard same =
-                zones.take(summary("a", 2, names("a", "b"), 0), 200).orElseThrow();
-        assertEquals(first.leftBefore(same), Set.of("c"));
-        ZoneSummaries.Heard other =
-                zones.take(summary("b", 1, names("b"), 0), 300).orElseThrow();
-        assertEquals(same.leftBefore(other), Set.of());
+        ZoneSummaries.Received first =
+                zones.apply(summary("a", 1, names("a", "b", "c"), 0), 100).orElseThrow();
+        ZoneSummaries.Received same =
+                zones.apply(summary("a", 2, names("a", "b"), 0), 200).orElseThrow();
+        assertEquals(first.departedBefore(same), Set.of("c"));
+        ZoneSummaries.Received other =
+                zones.apply(summary("b", 1, names("b"), 0), 300).orElseThrow();
+        assertEquals(same.departedBefore(other), Set.of());
     }
 
     /** Guards against applying the members of a different version. */
     @Test
     public void membersOfAnotherVersionDontHold() {
         ZoneSummaries zones = new ZoneSummaries();
-        zones.take(summary("a", 1, names("a", "b"), 0), 100);
-        assertTrue(zones.take(summary("a", 1, Optional.empty(), 0), 200)
+        zones.apply(summary("a", 1, names("a", "b"), 0), 100);
+        assertTrue(zones.apply(summary("a", 1, Optional.empty(), 0), 200)
                 .orElseThrow()
                 .members()
                 .isPresent());
-        assertTrue(zones.take(summary("a", 2, Optional.empty(), 0), 300)
+        assertTrue(zones.apply(summary("a", 2, Optional.empty(), 0), 300)
                 .orElseThrow()
                 .members()
                 .isEmpty());
