--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/CallerSpreadTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/AdvertisedNodeSelectorTest.java
@@ -11,13 +11,13 @@
 import org.testng.annotations.Test;
 
 /** Selection of the nodes that are advertised to callers. */
-public class CallerSpreadTest {
+public class AdvertisedNodeSelectorTest {
     private static final int FLEET = 66;
     private static final int ZONES = 3;
     /** Minimum number of advertised nodes: a third of the fleet, rounded up per zone. */
-    private static final int LEAST = 24;
+    private static final int MIN_ADVERTISED = 24;
 
-    private final AdvertisedNodeSelector spread = new AdvertisedNodeSelector();
+    private final AdvertisedNodeSelector selector = new AdvertisedNodeSelector();
 
     private static List<NodeIdentity> nodes(int count) {
         return IntStream.range(0, count)
@@ -27,49 +27,49 @@
     }
 
     @Test
-    public void aSmallFleetIsNamedWhole() {
-        assertEquals(spread.select(nodes(16)), nodes(16));
+    public void smallFleetIsAdvertisedCompletely() {
+        assertEquals(selector.select(nodes(16)), nodes(16));
     }
 
     /**
      * Guards against spreading a small load over all nodes of a large fleet, none of which then reuses its connections.
      */
     @Test
-    public void aLargeFleetIsNamedAsTheLoadNeeds() {
-        spread.recordLoad(120, 0);
-        List<NodeIdentity> named = spread.select(nodes(FLEET));
-        assertEquals(named.size(), LEAST);
+    public void largeFleetIsAdvertisedByLoad() {
+        selector.recordLoad(120, 0);
+        List<NodeIdentity> selected = selector.select(nodes(FLEET));
+        assertEquals(selected.size(), MIN_ADVERTISED);
         assertTrue(
-                named.stream()
+                selected.stream()
                         .collect(Collectors.groupingBy(NodeIdentity::zone, Collectors.counting()))
                         .values()
                         .stream()
-                        .allMatch(each -> each == named.size() / ZONES));
-        assertFalse(named.stream().anyMatch(each -> each.name().equals("n00")), "a hub is advertised");
+                        .allMatch(each -> each == selected.size() / ZONES));
+        assertFalse(selected.stream().anyMatch(each -> each.name().equals("n00")), "a hub is advertised");
     }
 
     /**
      * Guards against advertising too few nodes during a burst, and against removing nodes as soon as the load drops.
      */
     @Test
-    public void moreAreNamedAtOnceAndFewerAfterAWhile() {
-        spread.recordLoad(120, 0);
-        spread.recordLoad(360, 1);
-        assertEquals(spread.select(nodes(FLEET)).size(), 45);
-        spread.recordLoad(120, Duration.ofSeconds(1).toNanos());
-        assertEquals(spread.select(nodes(FLEET)).size(), 45);
-        spread.recordLoad(120, AdvertisedNodeSelector.PEAK_RETENTION.toNanos() + 2);
-        assertEquals(spread.select(nodes(FLEET)).size(), LEAST);
-        spread.recordLoad(10_000, AdvertisedNodeSelector.PEAK_RETENTION.toNanos() + 3);
-        assertEquals(spread.select(nodes(FLEET)).size(), FLEET);
+    public void nodesAreAddedAtOnceAndRemovedAfterARetention() {
+        selector.recordLoad(120, 0);
+        selector.recordLoad(360, 1);
+        assertEquals(selector.select(nodes(FLEET)).size(), 45);
+        selector.recordLoad(120, Duration.ofSeconds(1).toNanos());
+        assertEquals(selector.select(nodes(FLEET)).size(), 45);
+        selector.recordLoad(120, AdvertisedNodeSelector.PEAK_RETENTION.toNanos() + 2);
+        assertEquals(selector.select(nodes(FLEET)).size(), MIN_ADVERTISED);
+        selector.recordLoad(10_000, AdvertisedNodeSelector.PEAK_RETENTION.toNanos() + 3);
+        assertEquals(selector.select(nodes(FLEET)).size(), FLEET);
     }
 
     /** Guards against leaving out the nodes of a zone that has fewer than its share. */
     @Test
-    public void aZoneWithFewNodesNamesWhatItHas() {
+    public void nodesOfASmallZoneAreAdvertised() {
         List<NodeIdentity> ready = nodes(FLEET).stream()
                 .filter(each -> !each.zone().equals("z0") || each.name().equals("n63"))
                 .toList();
-        assertTrue(spread.select(ready).stream().anyMatch(each -> each.name().equals("n63")));
+        assertTrue(selector.select(ready).stream().anyMatch(each -> each.name().equals("n63")));
     }
 }
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshFleet.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshFleet.java
@@ -12,7 +12,7 @@
 /** Entry nodes in three zones that watch one platform, on virtual time. */
 final class MeshFleet {
     /** Time within which every node must know a change after the platform has acknowledged it. */
-    static final Duration BOUND = Duration.ofSeconds(2);
+    static final Duration MAX_CHANGE_DELAY = Duration.ofSeconds(2);
 
     private static final int NODES = 7;
     private static final int ZONES = 3;
@@ -27,12 +27,12 @@
 
     MeshFleet(long seed, int nodes) {
         IntStream.range(0, nodes).forEach(number -> add(number, seed * NODES + number));
-        introduce();
+        introduceAll();
         time.advance(Duration.ofSeconds(3));
     }
 
     /** Introduces all nodes to each other. */
-    void introduce() {
+    void introduceAll() {
         members.values().forEach(each -> members.values().forEach(other -> each.mesh.addPeer(other.identity)));
     }
 
@@ -53,16 +53,17 @@
     }
 
     /** Returns the number of frames that all nodes send within a time span. */
-    long frames(Duration span) {
-        long before = members.values().stream().mapToLong(each -> each.sent).sum();
+    long countFrames(Duration span) {
+        long before =
+                members.values().stream().mapToLong(each -> each.sentFrames).sum();
         time.advance(span);
-        return members.values().stream().mapToLong(each -> each.sent).sum() - before;
+        return members.values().stream().mapToLong(each -> each.sentFrames).sum() - before;
     }
 
-    boolean someNodeIsLate(ObjectKind kind) {
-        time.advance(BOUND);
+    boolean isAnyNodeLate(ObjectKind kind) {
+        time.advance(MAX_CHANGE_DELAY);
         return members.values().stream()
-                .filter(each -> !each.cut)
-                .anyMatch(each -> each.newest.get(kind) < platform.revision());
+                .filter(each -> !each.disconnected)
+                .anyMatch(each -> each.latestRevisions.get(kind) < platform.revision());
     }
 }
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshMember.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshMember.java
@@ -31,17 +31,17 @@
 final class MeshMember {
     final NodeIdentity identity;
     final VersionedTable runners = new VersionedTable();
-    final Map<ObjectKind, Long> newest = new EnumMap<>(ObjectKind.class);
-    final Map<ObjectKind, WatchedObjects> following = new EnumMap<>(ObjectKind.class);
-    int silences;
-    final List<SharedObject> learned = new ArrayList<>();
+    final Map<ObjectKind, Long> latestRevisions = new EnumMap<>(ObjectKind.class);
+    final Map<ObjectKind, WatchedObjects> watched = new EnumMap<>(ObjectKind.class);
+    int outages;
+    final List<SharedObject> appliedChanges = new ArrayList<>();
     final NodeMesh mesh;
     final Allotments allotments;
     boolean ready = true;
     boolean reachesStores = true;
-    boolean cut;
-    int sent;
-    long heardBytes;
+    boolean disconnected;
+    int sentFrames;
+    long receivedBytes;
     private final Map<String, MeshMember> members;
     private final ManualEventLoop loop;
     private final Random random;
@@ -94,36 +94,36 @@
                 () -> ready,
                 () -> reachesStores,
                 random,
-                platform.map(this::following).orElseGet(() -> Map.of(ObjectKind.RUNNERS, followed())),
-                watches -> {});
+                platform.map(this::watchAll).orElseGet(() -> Map.of(ObjectKind.RUNNERS, peersOnly())),
+                enabled -> {});
         mesh.start();
     }
 
     /** Ends the process: it sends and receives no frames, and sends no requests to the platform. */
     void kill() {
-        cut = true;
+        disconnected = true;
         loop.kill();
     }
 
-    private Map<ObjectKind, WatchedKind> following(SharedObjects platform) {
+    private Map<ObjectKind, WatchedKind> watchAll(SharedObjects platform) {
         return Stream.of(ObjectKind.RUNNERS, ObjectKind.MANIFEST)
-                .collect(Collectors.toMap(kind -> kind, kind -> followed(kind, platform)));
+                .collect(Collectors.toMap(kind -> kind, kind -> watch(kind, platform)));
     }
 
-    private WatchedObjects followed(ObjectKind kind, SharedObjects platform) {
+    private WatchedObjects watch(ObjectKind kind, SharedObjects platform) {
         WatchedObjects objects =
                 new WatchedObjects(kind, platform, loop, random, EntryRole.WATCH_WAIT, new ObjectWatcher.Listener() {
                     @Override
-                    public void onChanges(List<SharedObject> news) {
-                        news.forEach(each -> newest.merge(kind, each.revision(), Math::max));
+                    public void onChanges(List<SharedObject> changes) {
+                        changes.forEach(each -> latestRevisions.merge(kind, each.revision(), Math::max));
                     }
 
                     @Override
-                    public void onReachabilityChanged(boolean reached) {
-                        silences += reached ? 0 : 1;
+                    public void onReachabilityChanged(boolean reachable) {
+                        outages += reachable ? 0 : 1;
                     }
                 });
-        following.put(kind, objects);
+        watched.put(kind, objects);
         loop.execute(objects::start);
         return objects;
     }
@@ -133,9 +133,9 @@
             @Override
             public void send(String address, byte[] frame) {
                 MeshMember to = members.get(address);
-                sent++;
-                if (to != null && !cut && !to.cut) {
-                    to.heardBytes += frame.length;
+                sentFrames++;
+                if (to != null && !disconnected && !to.disconnected) {
+                    to.receivedBytes += frame.length;
                     to.loop.schedule(Duration.ofMillis(1), () -> to.mesh.receive(frame));
                 }
             }
@@ -145,7 +145,7 @@
         };
     }
 
-    private WatchedKind followed() {
+    private WatchedKind peersOnly() {
         return new WatchedKind() {
             @Override
             public long asOf() {
@@ -163,7 +163,7 @@
             }
 
             @Override
-            public void checkIfStale(Duration checkAfter) {}
+            public void checkIfStale(Duration maxStaleness) {}
 
             @Override
             public Duration staleness() {
@@ -184,21 +184,21 @@
             public void recordCompleteAt(long nanos) {}
 
             @Override
-            public void setWatching(boolean watches) {}
+            public void setWatching(boolean enabled) {}
 
             @Override
-            public void setChangeListener(Consumer<List<SharedObject>> taker) {}
+            public void setChangeListener(Consumer<List<SharedObject>> listener) {}
 
             @Override
-            public void applyChanges(ObjectChanges changes, long newestChange, long completeNanos) {
-                learned.addAll(runners.apply(changes));
-                runners.advanceLatestRevision(newestChange);
+            public void applyChanges(ObjectChanges changes, long latestRevision, long completeNanos) {
+                appliedChanges.addAll(runners.apply(changes));
+                runners.advanceLatestRevision(latestRevision);
             }
 
             @Override
-            public void applyList(ObjectChanges list, long newestChange, long completeNanos) {
-                learned.addAll(runners.replace(list));
-                runners.advanceLatestRevision(newestChange);
+            public void applyList(ObjectChanges list, long latestRevision, long completeNanos) {
+                appliedChanges.addAll(runners.replace(list));
+                runners.advanceLatestRevision(latestRevision);
             }
         };
     }
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshPlanTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshPlanTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    public void fewNodesTellEachOther() {
+    public void smallFleetIsAFullMesh() {
         List<Neighbour> peers = others("a3", name -> true).subList(0, MeshPlan.MAX_FULL_MESH_PEERS);
         MeshPlan plan = MeshPlan.of(node("a3"), peers, false, false);
         assertEquals(plan.stateReceivers().size(), MeshPlan.MAX_FULL_MESH_PEERS);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    public void aMemberTellsItsHubOnly() {
+    public void memberSendsToItsHubOnly() {
         MeshPlan plan = MeshPlan.of(node("a3"), others("a3", name -> true, "a0"), false, false);
         assertEquals(names(plan.stateReceivers()), List.of("a0"));
         assertTrue(plan.summaryReceivers().isEmpty()
@@ -48,7 +48,7 @@
     }
 
     @Test
-    public void theFirstOfAZoneIsItsHub() {
+    public void firstNodeOfAZoneIsItsHub() {
         MeshPlan plan = MeshPlan.of(node("a0"), others("a0", name -> true, "a1", "a2", "b0"), false, false);
         assertTrue(plan.stateReceivers().isEmpty());
         assertEquals(names(plan.summaryReceivers()), List.of("b0", "b1"));
@@ -57,7 +57,7 @@
 
     /** Guards against losing a node's state while its hub has failed and others still forward the hub's last state. */
     @Test
-    public void aSilentHubAndItsSuccessorAreBothTold() {
+    public void failedHubAndItsSuccessorBothReceiveStates() {
         MeshPlan plan = MeshPlan.of(node("a3"), others("a3", name -> true, "a1", "a2"), false, false);
         assertEquals(names(plan.stateReceivers()), List.of("a0", "a1"));
         MeshPlan later = MeshPlan.of(node("a3"), others("a3", name -> !name.equals("a0"), "a1", "a2"), false, false);
@@ -66,7 +66,7 @@
 
     /** A node that hears no node before itself, or that others treat as their hub, acts as a hub. */
     @Test
-    public void whoHearsNoHubActsAsOne() {
+    public void nodeWithoutAHubActsAsOne() {
         MeshPlan alone = MeshPlan.of(node("a3"), others("a3", name -> false), false, false);
         assertTrue(alone.stateReceivers().isEmpty()
                 && alone.allSummariesReceivers().isEmpty());
@@ -78,7 +78,7 @@
 
     /** Guards against never reaching a restarted node that knows no peers. */
     @Test
-    public void silentNodesAreTriedNowAndThen() {
+    public void timedOutNodesAreProbed() {
         MeshPlan plan = MeshPlan.of(node("a0"), others("a0", name -> !name.equals("a5"), "a1"), false, false);
         assertEquals(plan.allSummariesReceivers().size(), 8);
         MeshPlan probing = MeshPlan.of(node("a0"), others("a0", name -> !name.equals("a5"), "a1"), false, true);
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshBytesTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshTrafficTest.java
@@ -10,15 +10,15 @@
 import org.testng.annotations.Test;
 
 /** Status traffic in the largest supported fleet. */
-public class MeshBytesTest {
+public class MeshTrafficTest {
     private static final int NODES = 360;
     private static final int ZONES = 21;
     /** Maximum status traffic received by a node, bytes/s. */
-    private static final long MOST_BYTES = 21_000;
+    private static final long MAX_BYTES_PER_SECOND = 21_000;
 
     /** Guards against status traffic that grows with the number of nodes in an idle fleet. */
     @Test
-    public void aNodeAtRestHearsFewBytes() {
+    public void trafficOfAnIdleFleetIsBounded() {
         ManualScheduler time = new ManualScheduler();
         Map<String, MeshMember> members = new TreeMap<>();
         IntStream.range(0, NODES).forEach(number -> {
@@ -27,16 +27,16 @@
         });
         members.values().forEach(each -> members.values().forEach(other -> each.mesh.addPeer(other.identity)));
         time.advance(Duration.ofSeconds(3));
-        members.values().forEach(each -> each.heardBytes = 0);
+        members.values().forEach(each -> each.receivedBytes = 0);
         Duration span = Duration.ofSeconds(4);
         time.advance(span);
         long median = members.values().stream()
-                .mapToLong(each -> each.heardBytes / span.toSeconds())
+                .mapToLong(each -> each.receivedBytes / span.toSeconds())
                 .sorted()
                 .skip(NODES / 2)
                 .findFirst()
                 .orElseThrow();
-        assertTrue(median <= MOST_BYTES, median + " bytes/s");
+        assertTrue(median <= MAX_BYTES_PER_SECOND, median + " bytes/s");
         members.values().forEach(each -> assertTrue(each.mesh.hasDirectPeers()));
     }
 }
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/NodeMeshAtScaleTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/NodeMeshAtScaleTest.java
@@ -38,59 +38,60 @@
         members.put(name, new MeshMember(time, members, name, zone));
     }
 
-    private long frames(Duration span) {
-        long before = members.values().stream().mapToLong(each -> each.sent).sum();
+    private long countFrames(Duration span) {
+        long before =
+                members.values().stream().mapToLong(each -> each.sentFrames).sum();
         time.advance(span);
-        return members.values().stream().mapToLong(each -> each.sent).sum() - before;
+        return members.values().stream().mapToLong(each -> each.sentFrames).sum() - before;
     }
 
-    private static List<String> ready(MeshMember member) {
+    private static List<String> readyAddresses(MeshMember member) {
         return member.mesh.readyNodes().stream().map(NodeIdentity::callers).toList();
     }
 
     @Test
-    public void everyNodeNamesEveryReadyNode() {
+    public void everyNodeListsEveryReadyNode() {
         members.values().forEach(each -> assertEquals(each.mesh.readyNodes().size(), NODES));
         assertTrue(members.get("z1-05").mesh.readyAddresses().getFirst().startsWith("z1-"));
     }
 
     /** Guards against a number of frames that grows with the square of the nodes. */
     @Test
-    public void framesGrowWithTheNodesAndNotWithTheirSquare() {
-        long frames = frames(Duration.ofMillis(3200));
+    public void framesGrowLinearlyWithTheNodes() {
+        long frames = countFrames(Duration.ofMillis(3200));
         assertTrue(frames < 10 * 4 * NODES, "frames " + frames);
     }
 
     /** Guards against a zone timing out when its hub fails. */
     @Test
-    public void aHubThatEndsIsSucceededBeforeItsZoneCountsAsSilent() {
-        members.get("z0-00").cut = true;
+    public void failedHubIsReplacedBeforeItsZoneTimesOut() {
+        members.get("z0-00").disconnected = true;
         IntStream.range(0, 40).forEach(step -> {
             time.advance(Duration.ofMillis(100));
-            int named = members.get("z1-07").mesh.readyNodes().size();
-            assertTrue(named >= NODES - 1, "advertised " + named + " after " + step + " steps");
+            int advertised = members.get("z1-07").mesh.readyNodes().size();
+            assertTrue(advertised >= NODES - 1, "advertised " + advertised + " after " + step + " steps");
         });
-        assertFalse(ready(members.get("z1-07")).contains("z0-00:80"));
-        members.get("z0-00").cut = false;
+        assertFalse(readyAddresses(members.get("z1-07")).contains("z0-00:80"));
+        members.get("z0-00").disconnected = false;
         time.advance(Duration.ofSeconds(3));
         members.values().forEach(each -> assertEquals(each.mesh.readyNodes().size(), NODES));
-        long frames = frames(Duration.ofMillis(3200));
+        long frames = countFrames(Duration.ofMillis(3200));
         assertTrue(frames < 10 * 4 * NODES, "frames " + frames);
     }
 
     /** A node that shuts down is no longer advertised by any node within 330 ms. */
     @Test
-    public void aStoppingNodeIsLeftOutEverywhere() {
+    public void drainingNodeIsNotAdvertised() {
         MeshMember stopping = members.get("z2-11");
         stopping.ready = false;
         stopping.mesh.sendNow();
         time.advance(Duration.ofMillis(330));
-        members.values().forEach(each -> assertFalse(ready(each).contains(stopping.identity.callers())));
+        members.values().forEach(each -> assertFalse(readyAddresses(each).contains(stopping.identity.callers())));
     }
 
     /** Guards against changes not reaching nodes that the platform rejects, here all nodes of two zones. */
     @Test
-    public void newsReachNodesThatThePlatformTurnsAway() {
+    public void changesReachNodesThatThePlatformRejects() {
         SharedObject runner = new SharedObject("r1", 5, false, new byte[] {1});
         members.values().forEach(each -> each.runners.replace(new ObjectChanges(List.of(runner), 5)));
         SharedObject gone = new SharedObject("r1", 5, true, new byte[0]);
@@ -101,7 +102,7 @@
 
     /** Guards against a restarted node without any known peers staying isolated; its hub must find it. */
     @Test
-    public void aNodeThatKnowsNobodyIsFound() {
+    public void nodeWithoutPeersIsFound() {
         members.remove("z1-04");
         time.advance(Duration.ofSeconds(3));
         add(4 * ZONES + 1);
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/NodeMeshTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/NodeMeshTest.java
@@ -29,7 +29,7 @@
 
     /** Guards against a node that the platform rejects sending requests to a draining runner. */
     @Test
-    public void aNodeThatThePlatformTurnsAwayLearnsFromItsPeer() {
+    public void rejectedNodeReceivesChangesFromItsPeer() {
         MeshMember a = members.get("a");
         MeshMember b = members.get("b");
         SharedObject runner = new SharedObject("r1", 5, false, new byte[] {1});
@@ -38,12 +38,12 @@
         a.runners.apply(new ObjectChanges(List.of(new SharedObject("r1", 5, true, new byte[0])), 9));
         time.advance(Duration.ofMillis(900));
         assertEquals(b.runners.present(), List.of());
-        assertEquals(b.learned.size(), 1);
+        assertEquals(b.appliedChanges.size(), 1);
     }
 
     /** The revision counter also advances with changes of other kinds, which must not cause a fetch. */
     @Test
-    public void aHigherCounterAloneIsNoReasonToAsk() {
+    public void higherCounterAloneCausesNoFetch() {
         MeshMember a = members.get("a");
         MeshMember b = members.get("b");
         SharedObject runner = new SharedObject("r1", 5, false, new byte[] {1});
@@ -56,7 +56,7 @@
 
     /** Guards against advertising nodes that are not ready or have timed out. */
     @Test
-    public void silentAndStoppingNodesAreNotNamed() {
+    public void timedOutAndDrainingNodesAreNotAdvertised() {
         MeshMember a = members.get("a");
         MeshMember b = members.get("b");
         assertEquals(a.mesh.readyAddresses(), List.of("a:80", "b:80"));
@@ -67,14 +67,14 @@
         b.ready = true;
         time.advance(Duration.ofSeconds(1));
         assertEquals(a.mesh.readyAddresses(), List.of("a:80", "b:80"));
-        b.cut = true;
+        b.disconnected = true;
         time.advance(Duration.ofMillis(1300));
         assertEquals(a.mesh.readyAddresses(), List.of("a:80"));
     }
 
     /** A node that cannot reach the store VMs finds a peer that can. */
     @Test
-    public void namesAPeerThatReachesTheStores() {
+    public void findsAPeerThatReachesTheStores() {
         MeshMember a = members.get("a");
         assertEquals(a.mesh.findPeerReachingStores(), Optional.of("b"));
         members.get("b").reachesStores = false;
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/KnowledgeAfterSilenceTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/OutageRecoveryTest.java
@@ -18,7 +18,7 @@
  * Guards against stale objects after an outage of the platform in which connections stay open and nothing is answered:
  * watches sent during the outage are never answered, so changes made after it would be missed until they time out.
  */
-public class KnowledgeAfterSilenceTest {
+public class OutageRecoveryTest {
     private static final long SEEDS = 100;
 
     @DataProvider
@@ -27,7 +27,7 @@
     }
 
     @Test(dataProvider = "kinds")
-    public void aChangeIsKnownInTimeAfterASilenceOfThePlatform(ObjectKind kind) {
+    public void changeIsKnownInTimeAfterAnOutage(ObjectKind kind) {
         assertEquals(
                 lateSeeds(seed -> {
                     MeshFleet fleet = new MeshFleet(seed);
@@ -38,14 +38,14 @@
                     fleet.platform.silent(false);
                     fleet.time.advance(Duration.ofMillis(300));
                     fleet.change(kind, 5, Duration.ofMillis(32));
-                    return fleet.someNodeIsLate(kind);
+                    return fleet.isAnyNodeLate(kind);
                 }),
                 List.of());
     }
 
     /** The same when all existing connections die at once while new ones work. */
     @Test(dataProvider = "kinds")
-    public void aChangeIsKnownInTimeAfterAllConnectionsWentSilent(ObjectKind kind) {
+    public void changeIsKnownInTimeAfterAllConnectionsDied(ObjectKind kind) {
         assertEquals(
                 lateSeeds(seed -> {
                     MeshFleet fleet = new MeshFleet(seed);
@@ -53,14 +53,14 @@
                     fleet.time.advance(Duration.ofMillis(500));
                     fleet.platform.loseWatches();
                     fleet.change(kind, 1, Duration.ofMillis(20));
-                    return fleet.someNodeIsLate(kind);
+                    return fleet.isAnyNodeLate(kind);
                 }),
                 List.of());
     }
 
     /** Random sequences of outages and dead connections, followed by changes after each. */
     @Test
-    public void changesAreKnownInTimeAfterAnyRowOfSilences() {
+    public void changesAreKnownInTimeAfterRepeatedOutages() {
         assertEquals(
                 lateSeeds(seed -> {
                     MeshFleet fleet = new MeshFleet(seed);
@@ -75,7 +75,7 @@
                             fleet.platform.silent(false);
                         }
                         fleet.change(ObjectKind.MANIFEST, 1, Duration.ofMillis(1 + random.nextInt(1000)));
-                        return fleet.someNodeIsLate(ObjectKind.MANIFEST);
+                        return fleet.isAnyNodeLate(ObjectKind.MANIFEST);
                     });
                 }),
                 List.of());
@@ -83,7 +83,7 @@
 
     /** The same in a fleet of 60 nodes with hubs. */
     @Test
-    public void sixtyNodesKnowAChangeInTimeAfterAllConnectionsWentSilent() {
+    public void changeIsKnownInTimeInAFleetWithHubs() {
         assertEquals(
                 LongStream.range(0, 5)
                         .filter(seed -> {
@@ -92,7 +92,7 @@
                             fleet.time.advance(Duration.ofMillis(500));
                             fleet.platform.loseWatches();
                             fleet.change(ObjectKind.MANIFEST, 1, Duration.ofMillis(20));
-                            return fleet.someNodeIsLate(ObjectKind.MANIFEST);
+                            return fleet.isAnyNodeLate(ObjectKind.MANIFEST);
                         })
                         .boxed()
                         .toList(),
@@ -104,21 +104,21 @@
      * repeatedly.
      */
     @Test
-    public void whatNodesTellEachOtherMakesKnowledgeNoYounger() {
+    public void relayedStalenessDoesNotShrink() {
         MeshFleet fleet = new MeshFleet(1);
         fleet.platform.silent(true);
-        Duration silence = Duration.ofSeconds(10);
-        fleet.time.advance(silence);
+        Duration outage = Duration.ofSeconds(10);
+        fleet.time.advance(outage);
         fleet.members.values().forEach(each -> {
-            Duration age = each.following.get(ObjectKind.MANIFEST).staleness();
-            assertTrue(age.compareTo(silence) >= 0, each.identity.name() + " has staleness " + age);
-            assertEquals(each.silences, 2, "outages detected, of two kinds");
+            Duration staleness = each.watched.get(ObjectKind.MANIFEST).staleness();
+            assertTrue(staleness.compareTo(outage) >= 0, each.identity.name() + " has staleness " + staleness);
+            assertEquals(each.outages, 2, "outages detected, of two kinds");
         });
     }
 
     /** Guards against a node without any answer from the platform ending the outage for its peers. */
     @Test
-    public void aNodeThatStartsInASilenceDoesNotEndItForTheOthers() {
+    public void nodeStartedDuringAnOutageDoesNotEndIt() {
         MeshFleet fleet = new MeshFleet(1);
         fleet.platform.silent(true);
         fleet.time.advance(Duration.ofSeconds(5));
@@ -127,9 +127,9 @@
                 .values()
                 .forEach(each -> fleet.members.values().forEach(other -> each.mesh.addPeer(other.identity)));
         fleet.time.advance(Duration.ofSeconds(1));
-        Duration age =
-                fleet.members.get("n00").following.get(ObjectKind.MANIFEST).staleness();
-        assertTrue(age.compareTo(Duration.ofSeconds(6)) >= 0, "staleness " + age);
+        Duration staleness =
+                fleet.members.get("n00").watched.get(ObjectKind.MANIFEST).staleness();
+        assertTrue(staleness.compareTo(Duration.ofSeconds(6)) >= 0, "staleness " + staleness);
     }
 
     /**
@@ -137,18 +137,18 @@
      * become stale.
      */
     @Test
-    public void nodesThatAreTurnedAwayLeaveTheChecksToOthers() {
+    public void rejectedNodesLeaveChecksToOthers() {
         MeshFleet fleet = new MeshFleet(1, 0);
-        IntStream.range(0, 3).forEach(number -> fleet.add(number, number, new RefusingObjects()));
+        IntStream.range(0, 3).forEach(number -> fleet.add(number, number, new RejectingObjects()));
         IntStream.range(3, 7).forEach(number -> fleet.add(number, number));
-        fleet.introduce();
+        fleet.introduceAll();
         fleet.change(ObjectKind.MANIFEST, 1, Duration.ofSeconds(1));
         fleet.time.advance(Duration.ofSeconds(20));
         fleet.members
                 .values()
-                .forEach(each -> assertEquals(each.silences, 0, "outages detected by " + each.identity.name()));
+                .forEach(each -> assertEquals(each.outages, 0, "outages detected by " + each.identity.name()));
         fleet.change(ObjectKind.MANIFEST, 1, Duration.ofMillis(1));
-        assertFalse(fleet.someNodeIsLate(ObjectKind.MANIFEST));
+        assertFalse(fleet.isAnyNodeLate(ObjectKind.MANIFEST));
     }
 
     @DataProvider
@@ -158,19 +158,19 @@
 
     /** Guards against a number of checks that grows with the number of nodes, also during an outage. */
     @Test(dataProvider = "sizes")
-    public void checksDontGrowWithTheNodes(int nodes) {
+    public void checksDoNotGrowWithTheNumberOfNodes(int nodes) {
         MeshFleet fleet = new MeshFleet(1, nodes);
         Duration span = Duration.ofSeconds(20);
         long before = fleet.platform.checks();
         fleet.time.advance(span);
-        long quiet = fleet.platform.checks() - before;
+        long normalChecks = fleet.platform.checks() - before;
         fleet.platform.silent(true);
         fleet.time.advance(span);
-        long silent = fleet.platform.checks() - before - quiet;
+        long outageChecks = fleet.platform.checks() - before - normalChecks;
         // One check per second for each of two kinds. During an outage a node checks the less often the more nodes
         // precede it, which adds up to the logarithm of their number.
-        assertTrue(quiet <= 2 * 1.2 * span.toSeconds(), "checks " + quiet);
-        assertTrue(silent <= 2 * 7 * span.toSeconds(), "checks during an outage " + silent);
+        assertTrue(normalChecks <= 2 * 1.2 * span.toSeconds(), "checks " + normalChecks);
+        assertTrue(outageChecks <= 2 * 7 * span.toSeconds(), "checks during an outage " + outageChecks);
     }
 
     private static List<Long> lateSeeds(LongPredicate late) {
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/PlatformCallsTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/PlatformCallsTest.java
@@ -18,36 +18,36 @@
     private static final long SEEDS = 5;
     private static final int CHANGES = 20;
     /** Maximum number of requests per node and second while one object changes per second. */
-    private static final double MOST_CALLS = 0.2;
+    private static final double MAX_CALLS_PER_NODE_SECOND = 0.2;
 
     /** Guards against each change causing a request of every node to renew its watch. */
     @Test
-    public void callsAreAMatterOfZones() {
+    public void callsDoNotGrowWithTheNumberOfNodes() {
         MeshFleet fleet = new MeshFleet(1, NODES);
         fleet.time.advance(Duration.ofSeconds(30));
         long before = fleet.platform.calls();
         fleet.change(ObjectKind.RUNNERS, CHANGES, Duration.ofSeconds(1));
         double each = (double) (fleet.platform.calls() - before) / CHANGES / NODES;
-        assertTrue(each <= MOST_CALLS, each + " requests per node and second");
+        assertTrue(each <= MAX_CALLS_PER_NODE_SECOND, each + " requests per node and second");
     }
 
     /** Guards against every node of a full mesh forwarding each change to every other one. */
     @Test
-    public void aChangeIsPassedOnByThoseWhoWatch() {
+    public void changesAreForwardedByWatchingNodesOnly() {
         MeshFleet fleet = new MeshFleet(1, 12);
         fleet.change(ObjectKind.MANIFEST, 1, Duration.ofSeconds(5));
         fleet.time.advance(Duration.ofSeconds(5));
-        long quiet = fleet.frames(Duration.ofMillis(320));
+        long idleFrames = fleet.countFrames(Duration.ofMillis(320));
         fleet.change(ObjectKind.MANIFEST, 1, Duration.ofMillis(1));
-        long changed = fleet.frames(Duration.ofMillis(320));
+        long changeFrames = fleet.countFrames(Duration.ofMillis(320));
         // Three watching nodes send to eleven nodes each; a few nodes may send one additional status frame.
-        long most = quiet + 3 * 11 + 3 * 11;
-        assertTrue(changed <= most, changed + " frames, at most " + most);
+        long maxFrames = idleFrames + 3 * 11 + 3 * 11;
+        assertTrue(changeFrames <= maxFrames, changeFrames + " frames, at most " + maxFrames);
     }
 
     /** All nodes receive each change although few of them watch. */
     @Test
-    public void allNodesKnowAChangeSoon() {
+    public void changesReachAllNodesInTime() {
         MeshFleet fleet = new MeshFleet(1, NODES);
         fleet.time.advance(Duration.ofSeconds(30));
         IntStream.range(0, CHANGES).forEach(change -> {
@@ -55,14 +55,14 @@
             fleet.time.advance(Duration.ofMillis(700));
             fleet.members
                     .values()
-                    .forEach(each ->
-                            assertEquals(each.newest.get(ObjectKind.MANIFEST).longValue(), fleet.platform.revision()));
+                    .forEach(each -> assertEquals(
+                            each.latestRevisions.get(ObjectKind.MANIFEST).longValue(), fleet.platform.revision()));
         });
     }
 
     /** Guards against late changes when the watching nodes of all zones fail just before a change. */
     @Test
-    public void aChangeRightAfterTheWatchingNodesDiedIsKnownInTime() {
+    public void changeIsKnownInTimeAfterWatchingNodesFail() {
         assertEquals(
                 LongStream.range(0, SEEDS)
                         .filter(seed -> {
@@ -72,7 +72,7 @@
                             firstOfZones(2)
                                     .forEach(name -> fleet.members.get(name).kill());
                             fleet.change(ObjectKind.MANIFEST, 1, Duration.ofMillis(1 + 90 * seed));
-                            return fleet.someNodeIsLate(ObjectKind.MANIFEST);
+                            return fleet.isAnyNodeLate(ObjectKind.MANIFEST);
                         })
                         .boxed()
                         .toList(),
@@ -81,31 +81,31 @@
 
     /** Guards against a node that is partitioned from its peers still relying on them to watch. */
     @Test
-    public void aNodeThatIsCutOffFromItsPeersWatchesByItself() {
+    public void partitionedNodeWatches() {
         MeshFleet fleet = new MeshFleet(1, NODES);
         fleet.time.advance(Duration.ofSeconds(25));
-        MeshMember alone = fleet.members.get("n77");
-        alone.cut = true;
+        MeshMember partitioned = fleet.members.get("n77");
+        partitioned.disconnected = true;
         fleet.time.advance(Duration.ofSeconds(2));
         IntStream.range(0, CHANGES).forEach(change -> {
             fleet.change(ObjectKind.MANIFEST, 1, Duration.ofMillis(300));
-            fleet.time.advance(MeshFleet.BOUND);
-            assertEquals(alone.newest.get(ObjectKind.MANIFEST).longValue(), fleet.platform.revision());
+            fleet.time.advance(MeshFleet.MAX_CHANGE_DELAY);
+            assertEquals(partitioned.latestRevisions.get(ObjectKind.MANIFEST).longValue(), fleet.platform.revision());
         });
     }
 
     /** Guards against relying on watching nodes that the platform rejects. */
     @Test
-    public void nodesThatAreTurnedAwayLeaveTheWatchingToOthers() {
+    public void rejectedNodesLeaveWatchingToOthers() {
         MeshFleet fleet = new MeshFleet(1, 0);
-        int refused = 4 * ZONES;
-        IntStream.range(0, refused).forEach(number -> fleet.add(number, number, new RefusingObjects()));
-        IntStream.range(refused, NODES).forEach(number -> fleet.add(number, number));
-        fleet.introduce();
+        int rejected = 4 * ZONES;
+        IntStream.range(0, rejected).forEach(number -> fleet.add(number, number, new RejectingObjects()));
+        IntStream.range(rejected, NODES).forEach(number -> fleet.add(number, number));
+        fleet.introduceAll();
         fleet.time.advance(Duration.ofSeconds(30));
         IntStream.range(0, CHANGES).forEach(change -> {
             fleet.change(ObjectKind.MANIFEST, 1, Duration.ofMillis(300));
-            assertFalse(fleet.someNodeIsLate(ObjectKind.MANIFEST));
+            assertFalse(fleet.isAnyNodeLate(ObjectKind.MANIFEST));
         });
     }
 
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/RefusingObjects.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/RejectingObjects.java
@@ -12,38 +12,38 @@
 import org.parsleydrift.registry.SharedObjects;
 
 /** Platform that rejects all requests. */
-final class RefusingObjects implements SharedObjects {
+final class RejectingObjects implements SharedObjects {
     @Override
     public CompletableFuture<ObjectChanges> list(ObjectKind kind) {
-        return refused();
+        return rejected();
     }
 
     @Override
     public CompletableFuture<ObjectChanges> watch(ObjectKind kind, long after, Duration wait) {
-        return refused();
+        return rejected();
     }
 
     @Override
     public CompletableFuture<ObjectChanges> changes(ObjectKind kind, long after) {
-        return refused();
+        return rejected();
     }
 
     @Override
     public CompletableFuture<SharedObject> put(ObjectKind kind, String name, OptionalLong revision, byte[] content) {
-        return refused();
+        return rejected();
     }
 
     @Override
     public CompletableFuture<Void> remove(ObjectKind kind, String name) {
-        return refused();
+        return rejected();
     }
 
     @Override
     public CompletableFuture<Void> reportRetirement(String vm, RetirementProgress progress) {
-        return refused();
+        return rejected();
     }
 
-    private static <T> CompletableFuture<T> refused() {
+    private static <T> CompletableFuture<T> rejected() {
         return CompletableFuture.failedFuture(new StoreException(StoreFailure.REFUSED, "platform"));
     }
 }
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/RoleSettingsReaderTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/RoleSettingsReaderTest.java
@@ -21,7 +21,7 @@
                     "callers": "10.0.0.1:80", "readiness": "10.0.0.1:81", "directory": "10.0.0.1:82", "grace_s\"""");
 
     @Test
-    public void readsJsonWithCommentsAndPassesOverUnknownFields() {
+    public void readsJsonWithCommentsAndIgnoresUnknownFields() {
         RoleSettings settings = RoleSettingsReader.parse("settings", STORE);
         assertEquals(settings.role(), RoleKind.STORE);
         assertEquals(settings.link(), new Address("10.0.0.1", 7300));
@@ -30,41 +30,44 @@
     }
 
     @Test
-    public void tellsAllFaultsAtOnce() {
+    public void reportsAllErrorsAtOnce() {
         String text = STORE.replace("10.0.0.1:7300", "nowhere").replace("\"zone\": \"a\",", "");
         StepException fault = expectThrows(StepException.class, () -> RoleSettingsReader.parse("settings", text));
         assertTrue(fault.getMessage().contains("/zone is missing"), fault.getMessage());
-        assertTrue(fault.getMessage().contains("/link: invalid address 'nowhere', expected IP:PORT"), fault.getMessage());
+        assertTrue(
+                fault.getMessage().contains("/link: invalid address 'nowhere', expected IP:PORT"), fault.getMessage());
     }
 
     @Test
-    public void anEntryNeedsItsAddresses() {
+    public void entryRequiresItsAddresses() {
         String text = STORE.replace("\"store\"", "\"entry\"");
         StepException fault = expectThrows(StepException.class, () -> RoleSettingsReader.parse("settings", text));
         assertTrue(fault.getMessage().contains("/callers is missing"), fault.getMessage());
     }
 
     @Test
-    public void tellsWhereTheTextBreaksOff() {
+    public void reportsThePositionOfSyntaxErrors() {
         StepException fault =
                 expectThrows(StepException.class, () -> RoleSettingsReader.parse("settings", "{\n\"a\": }"));
         assertTrue(fault.getMessage().contains("line 2"), fault.getMessage());
     }
 
     @Test
-    public void lossesAreNumbers() {
+    public void toleratedLossesMustBeAnInteger() {
         assertEquals(RoleSettingsReader.parse("settings", STORE).toleratedLosses(), 1);
         String two = STORE.replace("\"grace_s\"", "\"tolerated_losses\": 2, \"grace_s\"");
         assertEquals(RoleSettingsReader.parse("settings", two).toleratedLosses(), 2);
         StepException fault = expectThrows(
                 StepException.class,
                 () -> RoleSettingsReader.parse("settings", two.replace("losses\": 2", "losses\": -1")));
-        assertTrue(fault.getMessage().contains("/tolerated_losses must be an integer of at least 0, got -1"), fault.getMessage());
+        assertTrue(
+                fault.getMessage().contains("/tolerated_losses must be an integer of at least 0, got -1"),
+                fault.getMessage());
     }
 
     /** Guards against accepting a store set that is too small for the tolerated losses. */
     @Test
-    public void aSetSmallerThanItsLossesWantIsRefused() {
+    public void tooFewStoreMembersAreRejected() {
         String two = STORE.replace("\"grace_s\"", "\"tolerated_losses\": 2, \"grace_s\"");
         assertEquals(RoleSettingsReader.parse("settings", two).storeMembers(), 5);
         String six = two.replace("\"grace_s\"", "\"store_members\": 6, \"grace_s\"");
@@ -72,11 +75,14 @@
         StepException fault = expectThrows(
                 StepException.class,
                 () -> RoleSettingsReader.parse("settings", six.replace("members\": 6", "members\": 4")));
-        assertTrue(fault.getMessage().contains("/store_members must be an integer of at least 5 for the tolerated losses, got 4"), fault.getMessage());
+        assertTrue(
+                fault.getMessage()
+                        .contains("/store_members must be an integer of at least 5 for the tolerated losses, got 4"),
+                fault.getMessage());
     }
 
     @Test
-    public void theWindowOfAllotmentsIsALengthOfTime() {
+    public void quotaWindowMustBePositive() {
         String entry = ENTRY.replace("\"grace_s\"", "\"allotment_window_s\": 2.5, \"grace_s\"");
         assertEquals(RoleSettingsReader.parse("settings", entry).allotmentRule().window(), Duration.ofMillis(2500));
         StepException fault = expectThrows(
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/ZoneSummariesTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/ZoneSummariesTest.java
@@ -28,10 +28,10 @@
                         .toList()),
                 Arrays.stream(rounds).boxed().toList(),
                 Map.of(),
-                use(load));
+                usage(load));
     }
 
-    private static NodeUsage use(int load) {
+    private static NodeUsage usage(int load) {
         return new NodeUsage(Map.of(RUNNER, load), UseReport.NONE);
     }
 
@@ -41,32 +41,32 @@
 
     /** Guards against counting a node's own load twice when its hub's sum contains an earlier value of it. */
     @Test
-    public void aNodeTakesItsOwnLoadOutOfTheSum() {
-        SentUsageHistory told = new SentUsageHistory();
-        told.record(1, use(3));
-        told.record(2, use(1));
+    public void ownLoadIsSubtractedFromTheSum() {
+        SentUsageHistory history = new SentUsageHistory();
+        history.record(1, usage(3));
+        history.record(2, usage(1));
         ZoneSummaries zones = new ZoneSummaries();
-        ZoneSummaries.Received heard =
+        ZoneSummaries.Received received =
                 zones.apply(summary("a", 1, names("a", "b"), 8, 40, 1), 100).orElseThrow();
-        assertEquals(told.usageOfOthers(heard, "b"), use(5));
+        assertEquals(history.usageOfOthers(received, "b"), usage(5));
         ZoneSummaries.Received newer =
                 zones.apply(summary("a", 1, Optional.empty(), 8, 41, 2), 200).orElseThrow();
-        assertEquals(told.usageOfOthers(newer, "b"), use(7));
-        assertEquals(told.usageOfOthers(newer, "c"), use(8));
+        assertEquals(history.usageOfOthers(newer, "b"), usage(7));
+        assertEquals(history.usageOfOthers(newer, "c"), usage(8));
     }
 
     /** Summaries arrive through several hubs and out of order; older ones must be ignored. */
     @Test
-    public void anOlderSummaryIsPassedOver() {
+    public void olderSummariesAreIgnored() {
         ZoneSummaries zones = new ZoneSummaries();
         assertTrue(zones.apply(summary("a", 1, names("a", "b"), 8, 1, 1), 200).isPresent());
         assertFalse(zones.apply(summary("a", 1, names("a"), 2, 1), 150).isPresent());
-        assertEquals(zones.of("z").orElseThrow().summary().usage(), use(8));
+        assertEquals(zones.of("z").orElseThrow().summary().usage(), usage(8));
     }
 
     /** Guards against removing live nodes when a new hub has not heard all members of its zone yet. */
     @Test
-    public void onlyTheSameHubSaysWhoHasLeft() {
+    public void onlyTheSameHubRemovesMembers() {
         ZoneSummaries zones = new ZoneSummaries();
         ZoneSummaries.Received first =
                 zones.apply(summary("a", 1, names("a", "b", "c"), 0), 100).orElseThrow();
@@ -80,7 +80,7 @@
 
     /** Guards against applying the members of a different version. */
     @Test
-    public void membersOfAnotherVersionDontHold() {
+    public void membersOfAnotherVersionAreNotUsed() {
         ZoneSummaries zones = new ZoneSummaries();
         zones.apply(summary("a", 1, names("a", "b"), 0), 100);
         assertTrue(zones.apply(summary("a", 1, Optional.empty(), 0), 200)
