--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
@@ -109,12 +109,12 @@
                 ObjectKind.RUNNERS, listener(registry::applyRunnerChanges, registry::setPlatformReachable));
         manifests = createWatched(
                 ObjectKind.MANIFEST, listener(registry::applyManifestChanges, registry::setManifestCurrent));
-        storeSets = createWatched(ObjectKind.STORE_SET, listener(this::applyStoreSetChanges, reached -> {}));
+        storeSets = createWatched(ObjectKind.STORE_SET, listener(this::applyStoreSetChanges, reachable -> {}));
         nodes = context.createWatcher(
                 ObjectKind.NODES,
                 NODES_WATCH_WAIT,
                 new VersionedTable(),
-                listener(this::applyNodeChanges, reached -> {}));
+                listener(this::applyNodeChanges, reachable -> {}));
         // Peers introduce each other, so the initial list is enough until the mesh has decided which nodes watch for
         // new ones.
         nodes.setWatching(false);
@@ -270,12 +270,12 @@
      * Publishes this node's entry, with retries, since callers are not sent to a node without an entry. An entry that
      * is already correct is not written again, to save the write and the watch events that it causes.
      */
-    private void publishEntry(Optional<SharedObject> present) {
-        if (present.filter(this::matchesSelf).isPresent()) {
+    private void publishEntry(Optional<SharedObject> currentEntry) {
+        if (currentEntry.filter(this::matchesSelf).isPresent()) {
             return;
         }
         OptionalLong revision =
-                present.stream().mapToLong(SharedObject::revision).findAny();
+                currentEntry.stream().mapToLong(SharedObject::revision).findAny();
         context.objects
                 .put(ObjectKind.NODES, self.name(), revision, self.toJson())
                 .whenComplete((written, failure) -> {
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/StoreRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/StoreRole.java
@@ -29,7 +29,7 @@
     private final FileDurableLog log;
     private final ConversationReplica replica;
     private final ReplicaCalls calls;
-    private final StoreSetController keeper;
+    private final StoreSetController controller;
 
     StoreRole(ProcessContext context) {
         this.context = context;
@@ -38,7 +38,7 @@
         this.replica = new ConversationReplica(context.loop, log, settings.vm(), StoreRole::generateDiskId);
         TcpFrameSender frames = new TcpFrameSender(context, this::receive);
         this.calls = new ReplicaCalls(context.loop, frames, settings.link().toString(), replica);
-        this.keeper = new StoreSetController(
+        this.controller = new StoreSetController(
                 context.loop,
                 context.objects,
                 replica,
@@ -61,11 +61,12 @@
     public void start() {
         context.loop.execute(() -> {
             replica.start(calls);
-            ObjectWatcher sets = createWatcher(ObjectKind.STORE_SET, keeper::onSetChanged);
-            keeper.setWatchListener(sets::setWatching);
+            ObjectWatcher sets = createWatcher(ObjectKind.STORE_SET, controller::onSetChanged);
+            controller.setWatchListener(sets::setWatching);
             sets.start();
-            createWatcher(ObjectKind.RETIREMENTS, keeper::onRetirementsChanged).start();
-            keeper.start();
+            createWatcher(ObjectKind.RETIREMENTS, controller::onRetirementsChanged)
+                    .start();
+            controller.start();
         });
     }
 
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/WatchedObjects.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/WatchedObjects.java
@@ -24,7 +24,7 @@
     private final VersionedTable table = new VersionedTable();
     private final ObjectWatcher watcher;
     private final ObjectWatcher.Listener listener;
-    private Consumer<List<SharedObject>> forwarder = news -> {};
+    private Consumer<List<SharedObject>> forwarder = changes -> {};
 
     WatchedObjects(
             ObjectKind kind,
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ZoneHub.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ZoneHub.java
@@ -49,9 +49,9 @@
         round++;
         ZoneSummary summary = summary(own, zonePeers, now);
         // A node that has just started may not know any other node or zone.
-        boolean changed = !summary.members().equals(Optional.of(lastMembers));
+        boolean membersChanged = !summary.members().equals(Optional.of(lastMembers));
         lastMembers = summary.members().orElseThrow();
-        ZoneSummary.Detail detail = changed ? ZoneSummary.Detail.ADDRESSES : detail();
+        ZoneSummary.Detail detail = membersChanged ? ZoneSummary.Detail.ADDRESSES : detail();
         ZoneSummary detailed = summary.withDetail(probing ? ZoneSummary.Detail.ADDRESSES : detail);
         send(plan.summaryReceivers(), List.of(detailed));
         Stream<ZoneSummary> others = zones.summariesToForward(self.zone(), detail, now).stream();
