--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectWatcher.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectWatcher.java
@@ -88,8 +88,8 @@
         void onChanges(List<SharedObject> changes);
 
         /**
-         * Called when an outage of the platform begins, because the staleness exceeds {@link StalenessTracker#MAX_STALENESS}, and
-         * when it ends.
+         * Called when an outage of the platform begins, because the staleness exceeds
+         * {@link StalenessTracker#MAX_STALENESS}, and when it ends.
          *
          * @param reachable false when an outage begins, true when it ends
          */
@@ -105,8 +105,8 @@
      * Detects an outage of the platform, and requests changes if the local copy is stale. Call this several times
      * within that staleness.
      *
-     * @param maxStaleness staleness at which this node requests changes; differs between nodes, so that few of them do at
-     *     a time
+     * @param maxStaleness staleness at which this node requests changes; differs between nodes, so that few of them do
+     *     at a time
      */
     public void checkIfStale(Duration maxStaleness) {
         detectOutage();
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Registry.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Registry.java
@@ -121,8 +121,8 @@
     /**
      * Records whether the manifest is current.
      *
-     * @param current whether it was the latest at some time within the last {@link StalenessTracker#MAX_STALENESS}; false during
-     *     an outage
+     * @param current whether it was the latest at some time within the last {@link StalenessTracker#MAX_STALENESS};
+     *     false during an outage
      */
     public void setManifestCurrent(boolean current) {
         manifestCurrent = current;
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/SharedObjects.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/SharedObjects.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Client of the platform's object store, with revisions, conditional updates and watches. Futures fail with {@link
- * org.parsleydrift.kernel.platform.StoreException}; a watch fails with {@code ABSENT} if the history after its revision
- * is no longer available.
+ * Client of the platform's object store, with revisions, conditional updates and watches. Futures fail with
+ * {@link org.parsleydrift.kernel.platform.StoreException}; a watch fails with {@code ABSENT} if the history after its
+ * revision is no longer available.
  */
 public interface SharedObjects {
     /**
