--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/DeploymentPlugin.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/DeploymentPlugin.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.parsleydrift.registry.ObjectDecoder;
 import org.parsleydrift.registry.SharedObjects;
-import org.parsleydrift.relay.RelayDialect;
+import org.parsleydrift.relay.HeaderNames;
 import org.parsleydrift.wire.HttpClient;
 
 /**
@@ -23,7 +23,7 @@
      *
      * @return the header names
      */
-    RelayDialect dialect();
+    HeaderNames dialect();
 
     /**
      * Creates a client of the platform's object store.
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
@@ -17,7 +17,7 @@
 import org.parsleydrift.kernel.LogLine;
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
-import org.parsleydrift.placement.Allotments;
+import org.parsleydrift.placement.QuotaTracker;
 import org.parsleydrift.registry.CallerLimits;
 import org.parsleydrift.registry.ObjectKind;
 import org.parsleydrift.registry.ObjectWatcher;
@@ -63,7 +63,7 @@
     private final Registry registry;
     private final ConversationClient stores;
     private final ReplicaCalls calls;
-    private final Allotments allotments;
+    private final QuotaTracker allotments;
     private final Dispatcher dispatcher;
     private final Relay relay;
     private final NodeMesh mesh;
@@ -92,7 +92,7 @@
                 request -> CompletableFuture.failedFuture(
                         new StepException(Step.FORWARD, self.name(), "entry nodes do not store conversations")));
         stores = new ConversationClient(context.loop, calls);
-        allotments = new Allotments(
+        allotments = new QuotaTracker(
                 context.loop.clock()::nanos, context.random, settings.allotmentRule(), this::hasFleetUsage);
         dispatcher = new Dispatcher(registry, context.random, settings.zone(), context.loop.clock()::nanos);
         relay = new Relay(
@@ -137,8 +137,8 @@
                 () -> registry.manifest().map(RoutingManifest::limits).orElseGet(CallerLimits::defaults));
         context.serve(settings.readiness().orElseThrow(), MAX_AUXILIARY_CONNECTIONS, this::respondReadiness);
         context.serve(settings.directory().orElseThrow(), MAX_AUXILIARY_CONNECTIONS, this::respondDirectory);
-        context.meters.gauge("parsleydrift.requests.open", relay, Relay::open);
-        context.meters.gauge("parsleydrift.requests.waiting", dispatcher, Dispatcher::waiting);
+        context.meters.gauge("parsleydrift.requests.open", relay, Relay::openRequests);
+        context.meters.gauge("parsleydrift.requests.waiting", dispatcher, Dispatcher::queueLength);
     }
 
     @Override
@@ -186,8 +186,8 @@
     private void checkDrained(long startNanos, CountDownLatch drained) {
         long elapsedMillis = (context.loop.clock().nanos() - startNanos) / 1_000_000;
         if (elapsedMillis > context.settings.grace().toMillis() * ACCEPT_FRACTION) {
-            callerServer.closeIdle();
-            if (relay.open() == 0 && callerServer.connections() == 0) {
+            callerServer.closeIdleConnections();
+            if (relay.openRequests() == 0 && callerServer.openConnections() == 0) {
                 drained.countDown();
             }
         }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/FleetUsage.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/FleetUsage.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import org.parsleydrift.placement.Allotments;
-import org.parsleydrift.placement.UseReport;
+import org.parsleydrift.placement.QuotaTracker;
+import org.parsleydrift.placement.UsageReport;
 import org.parsleydrift.registry.RunnerKey;
 import org.parsleydrift.relay.Dispatcher;
 
@@ -15,9 +15,9 @@
  */
 final class FleetUsage {
     private final Dispatcher dispatcher;
-    private final Allotments allotments;
+    private final QuotaTracker allotments;
 
-    FleetUsage(Dispatcher dispatcher, Allotments allotments) {
+    FleetUsage(Dispatcher dispatcher, QuotaTracker allotments) {
         this.dispatcher = dispatcher;
         this.allotments = allotments;
     }
@@ -30,22 +30,22 @@
 
     /** Number of requests that all nodes have at runners. */
     int totalRequests() {
-        return dispatcher.fleetLoad();
+        return dispatcher.totalLoad();
     }
 
     /** Records usage by reporter, which is a node or a zone. {@link NodeUsage#NONE} clears a reporter that is gone. */
     void recordUsage(Map<String, NodeUsage> usageByReporter) {
-        Map<String, UseReport> reports = new HashMap<>();
+        Map<String, UsageReport> reports = new HashMap<>();
         usageByReporter.forEach((reporter, usage) -> reports.put(reporter, usage.teams()));
-        allotments.peers(reports);
-        dispatcher.peerLoads(usageByReporter.entrySet().stream()
+        allotments.updatePeers(reports);
+        dispatcher.updatePeerLoads(usageByReporter.entrySet().stream()
                 .collect(Collectors.toMap(
                         Map.Entry::getKey, each -> each.getValue().load())));
     }
 
     /** Drops the usage of reporters whose usage is contained in the reports of others from now on. */
     void dropReporters(Set<String> reporters) {
-        allotments.movedFrom(reporters);
-        dispatcher.peerLoads(reporters.stream().collect(Collectors.toMap(each -> each, each -> Map.of())));
+        allotments.forgetReporters(reporters);
+        dispatcher.updatePeerLoads(reporters.stream().collect(Collectors.toMap(each -> each, each -> Map.of())));
     }
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettingsReader.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettingsReader.java
@@ -15,7 +15,7 @@
 import java.util.function.Function;
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
-import org.parsleydrift.placement.AllotmentRule;
+import org.parsleydrift.placement.QuotaPolicy;
 
 /**
  * Reads and validates settings: JSON with comments. All errors are reported at once; unknown fields are ignored.
@@ -103,12 +103,12 @@
                 required("grace_s", text -> Duration.ofMillis((long) (Double.parseDouble(text) * 1000))));
     }
 
-    private AllotmentRule allotmentRule() {
+    private QuotaPolicy allotmentRule() {
         double window = nonNegative("allotment_window_s", DEFAULT_ALLOTMENT_WINDOW_SECONDS);
         if (window == 0) {
             errors.add("/allotment_window_s must be greater than 0");
         }
-        return new AllotmentRule(Duration.ofMillis((long) (window * 1000)), nonNegative("allotment_slack", 0));
+        return new QuotaPolicy(Duration.ofMillis((long) (window * 1000)), nonNegative("allotment_slack", 0));
     }
 
     private double nonNegative(String field, double defaultValue) {
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/ZoneSummariesTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/ZoneSummariesTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.parsleydrift.placement.UseReport;
+import org.parsleydrift.placement.UsageReport;
 import org.testng.annotations.Test;
 
 /** Processing of the summaries that hubs send. */
@@ -32,7 +32,7 @@
     }
 
     private static NodeUsage usage(int load) {
-        return new NodeUsage(Map.of(RUNNER, load), UseReport.NONE);
+        return new NodeUsage(Map.of(RUNNER, load), UsageReport.NONE);
     }
 
     private static Optional<List<String>> names(String... names) {
