--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
@@ -63,7 +63,7 @@
     private final Registry registry;
     private final ConversationClient stores;
     private final ReplicaCalls calls;
-    private final QuotaTracker allotments;
+    private final QuotaTracker quotas;
     private final Dispatcher dispatcher;
     private final Relay relay;
     private final NodeMesh mesh;
@@ -92,8 +92,8 @@
                 request -> CompletableFuture.failedFuture(
                         new StepException(Step.FORWARD, self.name(), "entry nodes do not store conversations")));
         stores = new ConversationClient(context.loop, calls);
-        allotments = new QuotaTracker(
-                context.loop.clock()::nanos, context.random, settings.allotmentRule(), this::hasFleetUsage);
+        quotas = new QuotaTracker(
+                context.loop.clock()::nanos, context.random, settings.quotaPolicy(), this::hasFleetUsage);
         dispatcher = new Dispatcher(registry, context.random, settings.zone(), context.loop.clock()::nanos);
         relay = new Relay(
                 context.threads,
@@ -101,7 +101,7 @@
                 registry,
                 dispatcher,
                 new Conversations(stores),
-                allotments,
+                quotas,
                 context.plugin.dialect(),
                 context.random,
                 context.meters);
@@ -122,7 +122,7 @@
                 context.loop,
                 frames,
                 self,
-                new FleetUsage(dispatcher, allotments),
+                new FleetUsage(dispatcher, quotas),
                 this::isReady,
                 stores::hasReachableQuorum,
                 context.random,
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/FleetUsage.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/FleetUsage.java
@@ -15,17 +15,17 @@
  */
 final class FleetUsage {
     private final Dispatcher dispatcher;
-    private final QuotaTracker allotments;
+    private final QuotaTracker quotas;
 
-    FleetUsage(Dispatcher dispatcher, QuotaTracker allotments) {
+    FleetUsage(Dispatcher dispatcher, QuotaTracker quotas) {
         this.dispatcher = dispatcher;
-        this.allotments = allotments;
+        this.quotas = quotas;
     }
 
     NodeUsage ownUsage() {
         Map<Long, Integer> load = dispatcher.ownLoad().entrySet().stream()
                 .collect(Collectors.toMap(each -> RunnerKey.of(each.getKey()), Map.Entry::getValue, Integer::sum));
-        return new NodeUsage(load, allotments.report());
+        return new NodeUsage(load, quotas.report());
     }
 
     /** Number of requests that all nodes have at runners. */
@@ -37,15 +37,15 @@
     void recordUsage(Map<String, NodeUsage> usageByReporter) {
         Map<String, UsageReport> reports = new HashMap<>();
         usageByReporter.forEach((reporter, usage) -> reports.put(reporter, usage.teams()));
-        allotments.updatePeers(reports);
+        quotas.updatePeers(reports);
         dispatcher.updatePeerLoads(usageByReporter.entrySet().stream()
                 .collect(Collectors.toMap(
                         Map.Entry::getKey, each -> each.getValue().load())));
     }
 
     /** Drops the usage of reporters whose usage is contained in the reports of others from now on. */
-    void dropReporters(Set<String> reporters) {
-        allotments.forgetReporters(reporters);
+    void forgetReporters(Set<String> reporters) {
+        quotas.forgetReporters(reporters);
         dispatcher.updatePeerLoads(reporters.stream().collect(Collectors.toMap(each -> each, each -> Map.of())));
     }
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeMesh.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeMesh.java
@@ -264,7 +264,7 @@
     private void setActsAsHub(boolean acts) {
         if (acts && !actsAsHub) {
             // From now on the nodes of the zone report to this node directly.
-            fleetUsage.dropReporters(Set.of(zoneKey(self.zone())));
+            fleetUsage.forgetReporters(Set.of(zoneKey(self.zone())));
         }
         actsAsHub = acts;
     }
@@ -451,7 +451,7 @@
                 .map(MeshPeer::name)
                 .collect(Collectors.toSet());
         if (!counted.isEmpty()) {
-            fleetUsage.dropReporters(counted);
+            fleetUsage.forgetReporters(counted);
         }
         fleetUsage.recordUsage(Map.of(zoneKey(self.zone()), sentUsage.usageOfOthers(received, self.name())));
     }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeState.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeState.java
@@ -145,8 +145,8 @@
 
     static Map<ObjectKind, Freshness> readFreshness(MessageUnpacker in) throws IOException {
         Map<ObjectKind, Freshness> freshness = new EnumMap<>(ObjectKind.class);
-        int kinds = in.unpackMapHeader();
-        for (int i = 0; i < kinds; i++) {
+        int kindCount = in.unpackMapHeader();
+        for (int i = 0; i < kindCount; i++) {
             String kind = in.unpackString();
             Freshness received = Freshness.read(in);
             // Nodes of a later version may send kinds that are unknown here.
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeUsage.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeUsage.java
@@ -45,29 +45,29 @@
         out.packInt(teams.nodes()).packInt(teams.unobservedMillis());
         out.packMapHeader(teams.teams().size());
         for (Map.Entry<String, TeamUsage> each : teams.teams().entrySet()) {
-            TeamUsage use = each.getValue();
+            TeamUsage usage = each.getValue();
             out.packString(each.getKey());
-            writeCount(out, use.sent());
-            writeCount(out, use.planned());
-            out.packInt(use.newDemand()).packInt(use.inProgressDemand());
+            writeCount(out, usage.sent());
+            writeCount(out, usage.planned());
+            out.packInt(usage.newDemand()).packInt(usage.inProgressDemand());
         }
     }
 
     static NodeUsage read(MessageUnpacker in) throws IOException {
         Map<Long, Integer> load = new HashMap<>();
-        int runners = in.unpackMapHeader();
-        for (int i = 0; i < runners; i++) {
+        int runnerCount = in.unpackMapHeader();
+        for (int i = 0; i < runnerCount; i++) {
             load.put(in.unpackLong(), in.unpackInt());
         }
         int nodes = in.unpackInt();
-        int unseenMillis = in.unpackInt();
+        int unobservedMillis = in.unpackInt();
         Map<String, TeamUsage> teams = new HashMap<>();
-        int named = in.unpackMapHeader();
-        for (int i = 0; i < named; i++) {
+        int teamCount = in.unpackMapHeader();
+        for (int i = 0; i < teamCount; i++) {
             String team = in.unpackString();
             teams.put(team, new TeamUsage(readCount(in), readCount(in), in.unpackInt(), in.unpackInt()));
         }
-        return new NodeUsage(load, new UsageReport(nodes, unseenMillis, teams));
+        return new NodeUsage(load, new UsageReport(nodes, unobservedMillis, teams));
     }
 
     private static void writeCount(MessagePacker out, WindowCounts count) throws IOException {
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettings.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettings.java
@@ -22,7 +22,7 @@
  * @param firstStart whether the whole system starts for the first time, with empty disks
  * @param toleratedLosses number of store VMs whose disks may be lost at once; store only
  * @param storeMembers maximum number of members of the store set; further store VMs are standbys; store only
- * @param allotmentRule how requests are counted against the quota of their team; entry only
+ * @param quotaPolicy how requests are counted against the quota of their team; entry only
  * @param grace time between SIGTERM and forced termination
  */
 public record RoleSettings(
@@ -40,5 +40,5 @@
         boolean firstStart,
         int toleratedLosses,
         int storeMembers,
-        QuotaPolicy allotmentRule,
+        QuotaPolicy quotaPolicy,
         Duration grace) {}
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettingsReader.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettingsReader.java
@@ -29,7 +29,7 @@
     private static final int DEFAULT_TOLERATED_LOSSES = 1;
 
     /** Long compared with the delay at which nodes exchange their usage. */
-    private static final double DEFAULT_ALLOTMENT_WINDOW_SECONDS = 5;
+    private static final double DEFAULT_QUOTA_WINDOW_SECONDS = 5;
 
     private final JsonNode root;
     private final List<String> errors = new ArrayList<>();
@@ -99,12 +99,12 @@
                 root.path("first_start").asBoolean(false),
                 toleratedLosses,
                 role == RoleKind.STORE ? storeMembers(2 * toleratedLosses + 1) : 0,
-                allotmentRule(),
+                quotaPolicy(),
                 required("grace_s", text -> Duration.ofMillis((long) (Double.parseDouble(text) * 1000))));
     }
 
-    private QuotaPolicy allotmentRule() {
-        double window = nonNegative("allotment_window_s", DEFAULT_ALLOTMENT_WINDOW_SECONDS);
+    private QuotaPolicy quotaPolicy() {
+        double window = nonNegative("allotment_window_s", DEFAULT_QUOTA_WINDOW_SECONDS);
         if (window == 0) {
             errors.add("/allotment_window_s must be greater than 0");
         }
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshMember.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshMember.java
@@ -36,7 +36,7 @@
     int outages;
     final List<SharedObject> appliedChanges = new ArrayList<>();
     final NodeMesh mesh;
-    final QuotaTracker allotments;
+    final QuotaTracker quotas;
     boolean ready = true;
     boolean reachesStores = true;
     boolean disconnected;
@@ -85,12 +85,12 @@
             }
         });
         Dispatcher dispatcher = new Dispatcher(registry, new Random(1), "z", time::nanos);
-        allotments = new QuotaTracker(time::nanos, random, new QuotaPolicy(Duration.ofSeconds(5), 20), () -> true);
+        quotas = new QuotaTracker(time::nanos, random, new QuotaPolicy(Duration.ofSeconds(5), 20), () -> true);
         mesh = new NodeMesh(
                 loop,
                 sender(),
                 identity,
-                new FleetUsage(dispatcher, allotments),
+                new FleetUsage(dispatcher, quotas),
                 () -> ready,
                 () -> reachesStores,
                 random,
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/RoleSettingsReaderTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/RoleSettingsReaderTest.java
@@ -84,7 +84,7 @@
     @Test
     public void quotaWindowMustBePositive() {
         String entry = ENTRY.replace("\"grace_s\"", "\"allotment_window_s\": 2.5, \"grace_s\"");
-        assertEquals(RoleSettingsReader.parse("settings", entry).allotmentRule().window(), Duration.ofMillis(2500));
+        assertEquals(RoleSettingsReader.parse("settings", entry).quotaPolicy().window(), Duration.ofMillis(2500));
         StepException fault = expectThrows(
                 StepException.class, () -> RoleSettingsReader.parse("settings", entry.replace("2.5", "0")));
         assertTrue(fault.getMessage().contains("/allotment_window_s must be greater than 0"), fault.getMessage());
