--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
@@ -161,7 +161,7 @@
         context.loop.execute(() -> {
             mesh.sendNow();
             callerServer.drain();
-            context.loop.every(DRAIN_CHECK_PERIOD, () -> checkDrained(startNanos, drained));
+            context.loop.scheduleWithFixedDelay(DRAIN_CHECK_PERIOD, () -> checkDrained(startNanos, drained));
         });
         try {
             long maxMillis = (long) (context.settings.grace().toMillis() * EXIT_FRACTION);
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeMesh.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeMesh.java
@@ -116,7 +116,7 @@
     }
 
     void start() {
-        loop.every(STATUS_PERIOD, this::sendPeriodically);
+        loop.scheduleWithFixedDelay(STATUS_PERIOD, this::sendPeriodically);
     }
 
     /** Adds a peer that was listed by the platform or introduced itself. */
