--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/DeploymentPlugin.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/DeploymentPlugin.java
@@ -23,7 +23,7 @@
      *
      * @return the header names
      */
-    HeaderNames dialect();
+    HeaderNames headerNames();
 
     /**
      * Creates a client of the platform's object store.
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
@@ -102,7 +102,7 @@
                 dispatcher,
                 new Conversations(stores),
                 quotas,
-                context.plugin.dialect(),
+                context.plugin.headerNames(),
                 context.random,
                 context.meters);
         runners = createWatched(
