--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/LatestIncarnations.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/LatestIncarnations.java
@@ -19,7 +19,7 @@
         }
     };
 
-    void record(Runner runner) {
+    void update(Runner runner) {
         startMillisById.merge(runner.id(), runner.startMillis(), Math::max);
     }
 
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Registry.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Registry.java
@@ -191,7 +191,7 @@
                 log("runner_incarnation_outdated", now, change);
                 return;
             }
-            latestIncarnations.record(now);
+            latestIncarnations.update(now);
             expired.remove(change.name());
             runners.put(change.name(), now);
             if (!now.equals(before)) {
--- a/parsleydrift-registry/src/test/java/org/parsleydrift/registry/RunnerIncarnationTest.java
+++ b/parsleydrift-registry/src/test/java/org/parsleydrift/registry/RunnerIncarnationTest.java
@@ -33,8 +33,8 @@
                 if (space < 0) {
                     throw new StepException(Step.PARSE, name, "nonsense");
                 }
-                long born = Long.parseLong(text.substring(0, space));
-                return new Runner(name, born, "s", text.substring(space + 1), "z", 4, false);
+                long startMillis = Long.parseLong(text.substring(0, space));
+                return new Runner(name, startMillis, "s", text.substring(space + 1), "z", 4, false);
             }
         });
     }
--- a/parsleydrift-registry/src/test/java/org/parsleydrift/registry/VersionedTableTest.java
+++ b/parsleydrift-registry/src/test/java/org/parsleydrift/registry/VersionedTableTest.java
@@ -32,8 +32,8 @@
     @Test
     public void listDeletesMissingObjectsUnlessNewer() {
         table.apply(new ObjectChanges(List.of(at("old", 3), at("new", 12)), 12));
-        List<SharedObject> news = table.replace(new ObjectChanges(List.of(at("other", 10)), 10));
-        assertEquals(news.stream().map(SharedObject::name).toList(), List.of("old", "other"));
+        List<SharedObject> applied = table.replace(new ObjectChanges(List.of(at("other", 10)), 10));
+        assertEquals(applied.stream().map(SharedObject::name).toList(), List.of("old", "other"));
         assertEquals(table.present().stream().map(SharedObject::name).sorted().toList(), List.of("new", "other"));
         assertEquals(table.asOf(), 12);
         assertEquals(table.latestRevision(), 12);
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeMesh.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeMesh.java
@@ -326,7 +326,7 @@
     }
 
     private NodeState ownState(SentStatus status, boolean full) {
-        sentUsage.record(round, status.usage());
+        sentUsage.add(round, status.usage());
         Optional<NodeIdentity> identity = full ? Optional.of(self) : Optional.empty();
         return new NodeState(
                 self.name(),
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/SentUsageHistory.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/SentUsageHistory.java
@@ -14,7 +14,7 @@
 
     private final Map<Integer, NodeUsage> byRound = new LinkedHashMap<>();
 
-    void record(int round, NodeUsage usage) {
+    void add(int round, NodeUsage usage) {
         byRound.put(round, usage);
         if (byRound.size() > MAX_ROUNDS) {
             byRound.remove(byRound.keySet().iterator().next());
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/ZoneSummariesTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/ZoneSummariesTest.java
@@ -43,8 +43,8 @@
     @Test
     public void ownLoadIsSubtractedFromTheSum() {
         SentUsageHistory history = new SentUsageHistory();
-        history.record(1, usage(3));
-        history.record(2, usage(1));
+        history.add(1, usage(3));
+        history.add(2, usage(1));
         ZoneSummaries zones = new ZoneSummaries();
         ZoneSummaries.Received received =
                 zones.apply(summary("a", 1, names("a", "b"), 8, 40, 1), 100).orElseThrow();
