--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectWatcher.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectWatcher.java
@@ -16,7 +16,7 @@
  * platform no longer has the history after the known revision, the objects are listed again.
  *
  * <p>Peers that watch the same kind exchange the staleness of their copies. When a copy becomes stale, a node requests
- * the changes without waiting, since a watch cannot be told from a dead connection while it is pending.
+ * the changes without waiting, since a pending watch cannot be distinguished from a dead connection.
  */
 public final class ObjectWatcher {
     private static final Logger LOG = System.getLogger(ObjectWatcher.class.getName());
