--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectWatcher.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectWatcher.java
@@ -11,238 +11,246 @@
 import org.parsleydrift.kernel.platform.StoreFailure;
 
 /**
- * Follows one kind of shared objects: a list, then watches, each resumed where the previous one ended. After a failure
- * it waits a random, growing time, so that many nodes don't come back together; when the history is gone it lists anew.
+ * Keeps a local copy of one kind of shared objects up to date: one list, then consecutive watches, each starting at the
+ * revision where the previous one ended. Failed requests are retried with exponential backoff and jitter. If the
+ * platform no longer has the history after the known revision, the objects are listed again.
  *
- * <p>Where nodes that follow the same kind tell each other how old their knowledge is, they also check: when it grows old
- * one of them asks for changes without waiting. A watch may be silent for as long as it waits, at all nodes at once.
+ * <p>Peers that watch the same kind exchange the staleness of their copies. When a copy becomes stale, a node requests
+ * the changes without waiting, since a pending watch cannot be distinguished from a dead connection.
  */
 public final class ObjectWatcher {
     private static final Logger LOG = System.getLogger(ObjectWatcher.class.getName());
-    /** Pause after the first failure, ms; short, since drains must be known within about two seconds. */
-    private static final long FIRST_PAUSE_MILLIS = 60;
-    /** Longest pause between tries, ms: a quarter of the time in which a drain must be known. */
-    private static final long LAST_PAUSE_MILLIS = 500;
+    /** Short, because drains must be known to all nodes within two seconds. */
+    private static final long INITIAL_BACKOFF_MILLIS = 60;
+
+    private static final long MAX_BACKOFF_MILLIS = 500;
     /**
-     * After a silence each node that watches asks anew within this time, ms, while news reach all over the one that checked.
+     * Maximum delay before the watch is restarted after an outage, so that nodes do not restart their watches all at
+     * once.
      */
-    private static final long REWATCH_SPREAD_MILLIS = 300;
+    private static final long MAX_RESTART_DELAY_MILLIS = 300;
 
     private final ObjectKind kind;
     private final SharedObjects objects;
     private final EventLoop loop;
     private final RandomGenerator random;
-    private final Duration longestWait;
+    private final Duration maxWatchWait;
     private final Listener listener;
     private final VersionedTable table;
-    private final KnowledgeAge age;
-    private long pauseMillis = FIRST_PAUSE_MILLIS;
+    private final StalenessTracker stalenessTracker;
+    private long backoffMillis = INITIAL_BACKOFF_MILLIS;
     private boolean listed;
-    private boolean answered = true;
-    private boolean following = true;
-    private boolean resting;
-    private long run;
-    private long askedNanos;
+    private boolean platformReachable = true;
+    private boolean watching = true;
+    private boolean paused;
+    private long currentGeneration;
+    private long requestNanos;
     private boolean checking;
-    private long checkAskedNanos;
+    private long checkRequestNanos;
 
     /**
-     * Makes a follower; {@link #start} starts it.
+     * Creates a watcher; {@link #start} starts it.
      *
-     * @param kind the kind to follow
-     * @param objects where from
-     * @param loop runs it
-     * @param random spreads tries
-     * @param longestWait the longest wait of a watch; each waits a random time from half of it, so that nodes don't ask
-     *     anew together
-     * @param table takes in what is learned
-     * @param listener is told of news
+     * @param kind kind to watch
+     * @param objects source of the objects
+     * @param loop event loop that runs the watcher
+     * @param random source of jitter for retries and watches
+     * @param maxWatchWait maximum duration of a watch; each watch takes a random time between half of it and all of it,
+     *     so that nodes do not renew their watches all at once
+     * @param table local copy, updated with each change
+     * @param listener receives changes and reachability
      */
     public ObjectWatcher(
             ObjectKind kind,
             SharedObjects objects,
             EventLoop loop,
             RandomGenerator random,
-            Duration longestWait,
+            Duration maxWatchWait,
             VersionedTable table,
             Listener listener) {
         this.kind = kind;
         this.objects = objects;
         this.loop = loop;
         this.random = random;
-        this.longestWait = longestWait;
+        this.maxWatchWait = maxWatchWait;
         this.table = table;
         this.listener = listener;
-        this.age = new KnowledgeAge(loop.clock());
+        this.stalenessTracker = new StalenessTracker(loop.clock());
     }
 
-    /** Receives what a follower learns, on its loop. */
+    /** Receives changes and reachability of the platform, on the event loop of the watcher. */
     public interface Listener {
         /**
-         * Changes were taken in.
+         * Called after changes were applied to the local copy.
          *
-         * @param news the changes that were news
+         * @param changes the changes that were new to this node
          */
-        void onChanges(List<SharedObject> news);
+        void onChanges(List<SharedObject> changes);
 
         /**
-         * The platform has been silent for longer than {@link KnowledgeAge#SILENCE}, or a silence has ended.
+         * Called when an outage of the platform begins, because the staleness exceeds
+         * {@link StalenessTracker#MAX_STALENESS}, and when it ends.
          *
-         * @param reached whether it answers this node or one that this node hears of
+         * @param reachable false when an outage begins, true when it ends
          */
-        void onReachabilityChanged(boolean reached);
+        void onReachabilityChanged(boolean reachable);
     }
 
-    /** Starts following. */
+    /** Lists the objects and starts watching. */
     public void start() {
-        next(++run);
+        requestNext(++currentGeneration);
     }
 
     /**
-     * Notices a silence of the platform, and asks for changes where the knowledge has grown old. To be called several
-     * times within that age.
+     * Detects an outage of the platform, and requests changes if the local copy is stale. Call this several times
+     * within that staleness.
      *
-     * @param checkAfter the age at which this node is to ask; differs among nodes, so that few ask at a time
+     * @param maxStaleness staleness at which this node requests changes; differs between nodes, so that few of them do
+     *     at a time
      */
-    public void checkIfStale(Duration checkAfter) {
-        noticeSilence();
-        long sinceCheck = loop.clock().nanos() - checkAskedNanos;
-        if (listed && !checking && age().compareTo(checkAfter) >= 0 && sinceCheck >= checkAfter.toNanos()) {
-            check();
+    public void checkIfStale(Duration maxStaleness) {
+        detectOutage();
+        long sinceCheck = loop.clock().nanos() - checkRequestNanos;
+        if (listed && !checking && staleness().compareTo(maxStaleness) >= 0 && sinceCheck >= maxStaleness.toNanos()) {
+            checkForChanges();
         }
     }
 
     /**
-     * Has this node watch, or leaves that to others who pass on what they learn. A watch that waits goes on to its end, and
-     * the first list is asked for in any case.
+     * Enables or disables watching. A pending watch continues to its end, and the initial list is requested in any
+     * case.
      *
-     * @param watches whether to watch
+     * @param enabled true to watch; false to rely on the changes that peers forward
      */
-    public void follow(boolean watches) {
-        following = watches;
-        if (watches && resting) {
-            next(++run);
+    public void setWatching(boolean enabled) {
+        watching = enabled;
+        if (enabled && paused) {
+            requestNext(++currentGeneration);
         }
     }
 
     /**
-     * Drops the present watch and asks anew: another node knows more, so this watch has gone silent or is turned away.
+     * Abandons the pending watch and sends a new one. Used when a peer has newer objects, which means that the watch is
+     * dead or being rejected.
      */
     public void restart() {
-        next(++run);
+        requestNext(++currentGeneration);
     }
 
     /**
-     * How old this node's knowledge may be.
+     * Returns the staleness of the local copy.
      *
-     * @return the time since the newest call was asked, by this node or by one that knows no more, that was answered
+     * @return time since the latest answered request was sent, by this node or by a peer whose copy is no newer
      */
-    public Duration age() {
-        return age.age();
+    public Duration staleness() {
+        return stalenessTracker.staleness();
     }
 
     /**
      * Whether the platform answers this node.
      *
-     * @return whether the newest call that has ended was answered; true before the first
+     * @return result of the latest completed request; true before the first
      */
-    public boolean answered() {
-        return answered;
+    public boolean isPlatformReachable() {
+        return platformReachable;
     }
 
     /**
-     * How old this node's knowledge may be by its own calls.
+     * Returns the staleness derived from this node's own requests only.
      *
-     * @return the time since its newest call was asked that was answered; empty before the first
+     * @return time since the latest answered request of this node was sent; empty before the first answer
      */
-    public Optional<Duration> answeredAge() {
-        return age.answeredAge();
+    public Optional<Duration> ownStaleness() {
+        return stalenessTracker.ownStaleness();
     }
 
     /**
-     * Notes that this node's knowledge is complete up to a moment: a peer that knows no more has been answered.
+     * Records that the local copy is complete as of a time, because a peer whose copy is no newer got an answer.
      *
-     * @param nanos when the peer asked, on this loop's clock
+     * @param nanos time on the clock of this loop at which the peer sent its request, ns
      */
-    public void completeAt(long nanos) {
-        if (age.completeAt(nanos)) {
-            silenceEnded(nanos);
+    public void recordCompleteAt(long nanos) {
+        if (stalenessTracker.recordCompleteAt(nanos)) {
+            endOutage(nanos);
         }
     }
 
-    private void answeredWhatWasAsked(long nanos) {
-        if (age.answered(nanos)) {
-            silenceEnded(nanos);
+    private void recordAnswer(long nanos) {
+        if (stalenessTracker.recordAnswer(nanos)) {
+            endOutage(nanos);
         }
     }
 
-    private void next(long mine) {
-        if (mine != run) {
+    private void requestNext(long generation) {
+        if (generation != currentGeneration) {
             return;
         }
-        resting = listed && !following;
-        if (resting) {
+        paused = listed && !watching;
+        if (paused) {
             return;
         }
-        askedNanos = loop.clock().nanos();
-        var asked = listed ? objects.watch(kind, table.asOf(), nextWait()) : objects.list(kind);
-        boolean list = !listed;
-        asked.whenComplete((changes, failure) -> loop.execute(() -> {
-            if (mine != run) {
+        requestNanos = loop.clock().nanos();
+        var response = listed ? objects.watch(kind, table.asOf(), randomWatchWait()) : objects.list(kind);
+        boolean isList = !listed;
+        response.whenComplete((changes, failure) -> loop.execute(() -> {
+            if (generation != currentGeneration) {
                 return;
             }
             if (failure == null) {
-                took(list, changes);
-                next(mine);
+                applyResponse(isList, changes);
+                requestNext(generation);
             } else {
-                failed(StoreException.of(failure), mine);
+                retryAfterFailure(StoreException.of(failure), generation);
             }
         }));
     }
 
-    private Duration nextWait() {
-        long most = longestWait.toMillis();
-        return Duration.ofMillis(most / 2 + random.nextLong(most / 2 + 1));
+    private Duration randomWatchWait() {
+        long maxMillis = maxWatchWait.toMillis();
+        return Duration.ofMillis(maxMillis / 2 + random.nextLong(maxMillis / 2 + 1));
     }
 
-    private void took(boolean list, ObjectChanges changes) {
-        var news = list ? table.replace(changes) : table.apply(changes);
+    private void applyResponse(boolean isList, ObjectChanges changes) {
+        var applied = isList ? table.replace(changes) : table.apply(changes);
         listed = true;
-        pauseMillis = FIRST_PAUSE_MILLIS;
-        tell(true, "answered");
-        answeredWhatWasAsked(askedNanos);
-        if (list || !news.isEmpty()) {
-            tellNews(news);
+        backoffMillis = INITIAL_BACKOFF_MILLIS;
+        setPlatformReachable(true, "answered");
+        recordAnswer(requestNanos);
+        if (isList || !applied.isEmpty()) {
+            notifyChanges(applied);
         }
     }
 
-    /** Entries of other writers may hold anything; one that trips the listener must not end the following of all. */
-    private void tellNews(List<SharedObject> news) {
+    /**
+     * Contains failures of the listener: entries written by other programs may hold anything, and must not stop the
+     * watch.
+     */
+    private void notifyChanges(List<SharedObject> changes) {
         try {
-            listener.onChanges(news);
+            listener.onChanges(changes);
         } catch (RuntimeException fault) {
             LOG.log(
                     Logger.Level.ERROR,
-                    LogLine.of("news_not_taken_in")
+                    LogLine.of("change_listener_failed")
                             .with("kind", kind)
                             .with("as_of", table.asOf())
-                            .with("changes", news.size())
+                            .with("changes", changes.size())
                             .failure(fault)
                             .toString());
         }
     }
 
-    private void failed(StoreFailure failure, long mine) {
+    private void retryAfterFailure(StoreFailure failure, long generation) {
         if (failure == StoreFailure.ABSENT) {
-            historyGone();
+            relistAfterLostHistory();
         }
-        notAnswered(askedNanos, failure.toString());
-        long pause = pauseMillis / 2 + random.nextLong(pauseMillis);
-        pauseMillis = Math.min(LAST_PAUSE_MILLIS, pauseMillis * 2);
-        loop.schedule(Duration.ofMillis(pause), () -> next(mine));
+        recordFailure(requestNanos, failure.toString());
+        long delayMillis = backoffMillis / 2 + random.nextLong(backoffMillis);
+        backoffMillis = Math.min(MAX_BACKOFF_MILLIS, backoffMillis * 2);
+        loop.schedule(Duration.ofMillis(delayMillis), () -> requestNext(generation));
     }
 
-    private void historyGone() {
+    private void relistAfterLostHistory() {
         listed = false;
         LOG.log(
                 Logger.Level.INFO,
@@ -252,111 +260,111 @@
                         .toString());
     }
 
-    private void check() {
-        long asked = loop.clock().nanos();
-        checkAskedNanos = asked;
+    private void checkForChanges() {
+        long checkNanos = loop.clock().nanos();
+        checkRequestNanos = checkNanos;
         checking = true;
         objects.changes(kind, table.asOf())
                 .whenComplete((changes, failure) -> loop.execute(() -> {
                     checking = false;
                     if (failure == null) {
-                        checked(changes, asked);
+                        applyCheckResponse(changes, checkNanos);
                     } else {
-                        checkFailed(StoreException.of(failure), asked);
+                        handleCheckFailure(StoreException.of(failure), checkNanos);
                     }
                 }));
     }
 
-    private void checked(ObjectChanges changes, long asked) {
-        tell(true, "check answered");
-        List<SharedObject> news = table.apply(changes);
-        answeredWhatWasAsked(asked);
-        if (!news.isEmpty()) {
-            // The watch would have brought these: it has gone silent.
+    private void applyCheckResponse(ObjectChanges changes, long checkNanos) {
+        setPlatformReachable(true, "check answered");
+        List<SharedObject> missed = table.apply(changes);
+        recordAnswer(checkNanos);
+        if (!missed.isEmpty()) {
+            // The watch should have delivered these changes, so its connection is dead.
             LOG.log(
                     Logger.Level.INFO,
-                    () -> LogLine.of("news_missed_by_watch")
+                    () -> LogLine.of("changes_missed_by_watch")
                             .with("kind", kind)
                             .with("as_of", table.asOf())
-                            .with("changes", news.size())
-                            .with("watch_asked_ms_ago", millisSince(askedNanos))
+                            .with("changes", missed.size())
+                            .with("watch_age_ms", millisSince(requestNanos))
                             .toString());
-            tellNews(news);
+            notifyChanges(missed);
             restart();
         }
     }
 
-    private void checkFailed(StoreFailure failure, long asked) {
-        notAnswered(asked, "check " + failure);
+    private void handleCheckFailure(StoreFailure failure, long checkNanos) {
+        recordFailure(checkNanos, "check " + failure);
         LOG.log(
                 Logger.Level.INFO,
                 () -> LogLine.of("check_failed")
                         .with("kind", kind)
                         .with("reason", failure)
-                        .with("known_ms_ago", age().toMillis())
+                        .with("staleness_ms", staleness().toMillis())
                         .toString());
         if (failure == StoreFailure.ABSENT) {
-            historyGone();
+            relistAfterLostHistory();
             restart();
         }
     }
 
-    private void noticeSilence() {
-        if (age.noticeSilence()) {
+    private void detectOutage() {
+        if (stalenessTracker.detectOutage()) {
             LOG.log(
                     Logger.Level.INFO,
-                    () -> LogLine.of("platform_silent")
+                    () -> LogLine.of("platform_outage_detected")
                             .with("kind", kind)
                             .with("as_of", table.asOf())
-                            .with("known_ms_ago", age().toMillis())
+                            .with("staleness_ms", staleness().toMillis())
                             .toString());
             listener.onReachabilityChanged(false);
         }
     }
 
-    private void silenceEnded(long provedNanos) {
+    private void endOutage(long completeNanos) {
         LOG.log(
                 Logger.Level.INFO,
-                () -> LogLine.of("silence_ended")
+                () -> LogLine.of("outage_ended")
                         .with("kind", kind)
                         .with("as_of", table.asOf())
-                        .with("known_ms_ago", age().toMillis())
-                        .with("watch_asked_ms_ago", millisSince(askedNanos))
+                        .with("staleness_ms", staleness().toMillis())
+                        .with("watch_age_ms", millisSince(requestNanos))
                         .toString());
         listener.onReachabilityChanged(true);
-        if (askedNanos - provedNanos < 0) {
-            replaceWatch(run);
+        if (requestNanos - completeNanos < 0) {
+            scheduleRestart(currentGeneration);
         }
     }
 
-    /** A watch that was asked in a silence may never be answered. */
-    private void replaceWatch(long askedRun) {
-        loop.schedule(Duration.ofMillis(random.nextLong(REWATCH_SPREAD_MILLIS)), () -> {
-            if (run == askedRun) {
+    /** Restarts a watch that was sent during the outage and may never be answered. */
+    private void scheduleRestart(long generation) {
+        loop.schedule(Duration.ofMillis(random.nextLong(MAX_RESTART_DELAY_MILLIS)), () -> {
+            if (currentGeneration == generation) {
                 restart();
             }
         });
     }
 
-    /** A call that was asked before one that was answered says nothing of the present. */
-    private void notAnswered(long asked, String reason) {
-        if (age.answeredBefore(asked)) {
-            tell(false, reason);
+    /** Ignores the failure of a request that was sent before an answered one. */
+    private void recordFailure(long failedRequestNanos, String reason) {
+        if (stalenessTracker.hasNoAnswerSince(failedRequestNanos)) {
+            setPlatformReachable(false, reason);
         }
     }
 
-    /** Logs that this node itself is answered again, or not any more. */
-    private void tell(boolean now, String reason) {
-        if (now != answered) {
-            answered = now;
+    /** Records whether the platform answers this node, and logs each transition. */
+    private void setPlatformReachable(boolean reachable, String reason) {
+        if (reachable != platformReachable) {
+            platformReachable = reachable;
             LOG.log(
                     Logger.Level.INFO,
-                    () -> LogLine.of(now ? "platform_regained" : "platform_lost")
+                    () -> LogLine.of(reachable ? "platform_reachable" : "platform_unreachable")
                             .with("kind", kind)
                             .with("as_of", table.asOf())
                             .with("reason", reason)
-                            .with("asked_ms_ago", millisSince(askedNanos))
-                            .with("known_ms_ago", age().toMillis())
+                            .with("request_age_ms", millisSince(requestNanos))
+                            .with("staleness_ms", staleness().toMillis())
                             .toString());
         }
     }
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Registry.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Registry.java
@@ -13,34 +13,33 @@
 import org.parsleydrift.kernel.LogLine;
 import org.parsleydrift.kernel.StepException;
 
-/** What this node believes of the manifest and of the runners. Confined to one loop. */
+/** This node's view of the manifest and the runners. Confined to one event loop. */
 public final class Registry {
     private static final Logger LOG = System.getLogger(Registry.class.getName());
     /**
-     * Entries of runners lapse while the platform is silent and are back about two seconds after its return, if the
-     * runner lives. A node that dropped them at once would refuse requests that the runners could serve. The time counts
-     * from the return. Counted from when a node learns of the removal, a runner that leaves a while after the return
-     * would get requests for longer than the two seconds after which it must be left alone.
+     * How long runners whose entries were removed around an outage are still used, counted from the end of the outage.
+     * Entries expire while the platform is down, and live runners write them again within two seconds of its return. A
+     * runner that leaves later must not receive requests for longer than two seconds.
      */
-    private static final Duration LAPSE_GRACE = Duration.ofMillis(1900);
+    private static final Duration EXPIRY_GRACE = Duration.ofMillis(1900);
 
     private final EventLoop loop;
     private final ObjectDecoder decoder;
     private final Map<String, Runner> runners = new HashMap<>();
-    private final Map<String, Runner> lapsed = new HashMap<>();
-    private final NewestLives newestLives = new NewestLives();
+    private final Map<String, Runner> expired = new HashMap<>();
+    private final LatestIncarnations latestIncarnations = new LatestIncarnations();
     private Runnable onChange = () -> {};
     private RoutingManifest manifest;
-    private boolean platformReached = true;
-    private boolean returning;
-    private long silences;
+    private boolean platformReachable = true;
+    private boolean inExpiryGrace;
+    private long outages;
     private boolean manifestCurrent = true;
 
     /**
-     * Makes an empty registry.
+     * Creates an empty registry.
      *
-     * @param loop its loop
-     * @param decoder reads contents
+     * @param loop event loop that the registry is confined to
+     * @param decoder decodes the contents of shared objects
      */
     public Registry(EventLoop loop, ObjectDecoder decoder) {
         this.loop = loop;
@@ -48,122 +47,124 @@
     }
 
     /**
-     * Says what to run when runners or the manifest changed.
+     * Sets the task to run after runners or the manifest have changed.
      *
-     * @param task what to run
+     * @param task task to run on the event loop; replaces the previous one
      */
     public void onChange(Runnable task) {
         onChange = task;
     }
 
     /**
-     * The newest known manifest.
+     * Returns the latest readable manifest.
      *
-     * @return the manifest, if one is known
+     * @return the manifest; empty if none has been received
      */
     public Optional<RoutingManifest> manifest() {
         return Optional.ofNullable(manifest);
     }
 
     /**
-     * Runners of a service that may get new requests.
+     * Returns the runners of a service that can receive new requests.
      *
-     * @param service the service
-     * @return the runners
+     * @param service name of the service
+     * @return all known runners of the service that are not draining
      */
     public List<Runner> runners(String service) {
-        return Stream.concat(runners.values().stream(), lapsed.values().stream())
+        return Stream.concat(runners.values().stream(), expired.values().stream())
                 .filter(each -> each.service().equals(service) && !each.draining())
                 .toList();
     }
 
     /**
-     * Lives of all runners that are known, those that are leaving or have lapsed included.
+     * Returns the incarnations of all known runners, including those that are draining and those whose entries have
+     * expired.
      *
-     * @return the lives
+     * @return ids of the incarnations
      */
     public Set<String> incarnations() {
-        return Stream.concat(runners.values().stream(), lapsed.values().stream())
+        return Stream.concat(runners.values().stream(), expired.values().stream())
                 .map(Runner::incarnation)
                 .collect(Collectors.toSet());
     }
 
     /**
-     * Whether a runner may still get new requests.
+     * Whether a runner can receive new requests.
      *
-     * @param runner one of its lives
-     * @return whether this life is known and not leaving
+     * @param runner a runner
+     * @return true if exactly this incarnation is known and not draining
      */
     public boolean isUsable(Runner runner) {
-        Runner known = runners.getOrDefault(runner.id(), lapsed.get(runner.id()));
+        Runner known = runners.getOrDefault(runner.id(), expired.get(runner.id()));
         return known != null && known.incarnation().equals(runner.incarnation()) && !known.draining();
     }
 
     /**
-     * Notes whether the platform answers.
+     * Records the beginning or the end of an outage of the platform.
      *
-     * @param reached whether it answers any node that this node hears of
+     * @param reachable whether the platform answers this node or any of its peers
      */
-    public void setPlatformReachable(boolean reached) {
-        if (reached == platformReached) {
+    public void setPlatformReachable(boolean reachable) {
+        if (reachable == platformReachable) {
             return;
         }
-        platformReached = reached;
-        if (reached) {
-            long ended = silences;
-            returning = true;
-            loop.schedule(LAPSE_GRACE, () -> dropLapsed(ended));
+        platformReachable = reachable;
+        if (reachable) {
+            long outage = outages;
+            inExpiryGrace = true;
+            loop.schedule(EXPIRY_GRACE, () -> dropExpired(outage));
         } else {
-            silences++;
+            outages++;
         }
     }
 
     /**
-     * Notes whether the manifest was the newest at some moment of the last {@link KnowledgeAge#SILENCE}.
+     * Records whether the manifest is current.
      *
-     * @param current whether it was; false while the platform is silent
+     * @param current whether it was the latest at some time within the last {@link StalenessTracker#MAX_STALENESS};
+     *     false during an outage
      */
     public void setManifestCurrent(boolean current) {
         manifestCurrent = current;
     }
 
     /**
-     * Whether the manifest was the newest at some moment of the last {@link KnowledgeAge#SILENCE}.
+     * Whether the manifest is current.
      *
-     * @return whether it was
+     * @return whether it was the latest at some time within the last {@link StalenessTracker#MAX_STALENESS}
      */
     public boolean isManifestCurrent() {
         return manifestCurrent;
     }
 
     /**
-     * Takes in news of runners.
+     * Applies changes to the entries of runners.
      *
-     * @param news changed entries
+     * @param changes changed entries
      */
-    public void applyRunnerChanges(List<SharedObject> news) {
-        news.forEach(this::runnerChanged);
+    public void applyRunnerChanges(List<SharedObject> changes) {
+        changes.forEach(this::applyRunnerChange);
         onChange.run();
     }
 
     /**
-     * Takes in news of the manifest.
+     * Applies changes to the manifest. An unreadable manifest leaves the previous one in force.
      *
-     * @param news changed objects
+     * @param changes changed objects
      */
-    public void applyManifestChanges(List<SharedObject> news) {
-        news.stream().filter(each -> !each.deleted()).forEach(each -> {
+    public void applyManifestChanges(List<SharedObject> changes) {
+        changes.stream().filter(each -> !each.deleted()).forEach(each -> {
             try {
-                RoutingManifest read = decoder.decodeManifest(each.content());
-                manifest = read;
+                RoutingManifest decoded = decoder.decodeManifest(each.content());
+                manifest = decoded;
                 LOG.log(
                         Logger.Level.INFO,
                         () -> LogLine.of("manifest_in_force")
-                                .with("version", read.version())
+                                .with("version", decoded.version())
                                 .with("revision", each.revision())
                                 .toString());
             } catch (StepException fault) {
-                // The previous manifest stays in force; the operator's version can't be read here.
+                // The previous manifest stays in force.
                 LOG.log(
                         Logger.Level.ERROR,
                         LogLine.of("manifest_unreadable")
@@ -175,39 +176,39 @@
         onChange.run();
     }
 
-    private void runnerChanged(SharedObject change) {
+    private void applyRunnerChange(SharedObject change) {
         Runner before = runners.get(change.name());
         if (change.deleted()) {
             runners.remove(change.name());
             if (before != null) {
-                removed(before, change);
+                removeOrExpire(before, change);
             }
             return;
         }
         try {
             Runner now = decoder.decodeRunner(change.name(), change.content());
-            if (newestLives.isFormer(now)) {
-                log("runner_of_former_life", now, change);
+            if (latestIncarnations.isOutdated(now)) {
+                log("runner_incarnation_outdated", now, change);
                 return;
             }
-            newestLives.seen(now);
-            lapsed.remove(change.name());
+            latestIncarnations.update(now);
+            expired.remove(change.name());
             runners.put(change.name(), now);
             if (!now.equals(before)) {
-                log(before == null ? "runner_known" : "runner_changed", now, change);
+                log(before == null ? "runner_added" : "runner_changed", now, change);
             }
         } catch (StepException fault) {
-            unreadable(change, fault);
+            removeUnreadable(change, fault);
         }
     }
 
     /**
-     * An entry that can't be read names no runner, whatever stood there before: who wrote it is unknown, and requests
-     * sent to the runner of its former content might reach another process.
+     * Removes a runner whose entry is unreadable. Its writer is unknown, and the former address may belong to another
+     * process.
      */
-    private void unreadable(SharedObject change, StepException fault) {
+    private void removeUnreadable(SharedObject change, StepException fault) {
         boolean known = runners.remove(change.name()) != null;
-        lapsed.remove(change.name());
+        expired.remove(change.name());
         LOG.log(
                 Logger.Level.WARNING,
                 LogLine.of("runner_unreadable")
@@ -218,40 +219,44 @@
                         .toString());
     }
 
-    private void removed(Runner runner, SharedObject change) {
-        boolean mayLapse = !platformReached || returning;
-        if (!mayLapse || runner.draining()) {
-            log("runner_gone", runner, change);
+    private void removeOrExpire(Runner runner, SharedObject change) {
+        boolean mayHaveExpired = !platformReachable || inExpiryGrace;
+        if (!mayHaveExpired || runner.draining()) {
+            log("runner_removed", runner, change);
             return;
         }
-        lapsed.put(runner.id(), runner);
-        log("runner_lapsed", runner, change);
+        expired.put(runner.id(), runner);
+        log("runner_entry_expired", runner, change);
     }
 
-    private void dropLapsed(long afterSilence) {
-        if (afterSilence != silences) {
-            // Another silence began meanwhile; its end has a timer of its own.
+    private void dropExpired(long outage) {
+        if (outage != outages) {
+            // Another outage has begun since; its end schedules its own task.
             return;
         }
-        returning = false;
-        if (lapsed.isEmpty()) {
+        inExpiryGrace = false;
+        if (expired.isEmpty()) {
             return;
         }
-        lapsed.values()
+        expired.values()
                 .forEach(each -> LOG.log(
                         Logger.Level.INFO,
-                        line("runner_gone", each).with("lapsed", true).toString()));
-        lapsed.clear();
+                        runnerEvent("runner_removed", each)
+                                .with("expired", true)
+                                .toString()));
+        expired.clear();
         onChange.run();
     }
 
     private static void log(String event, Runner runner, SharedObject change) {
         LOG.log(
                 Logger.Level.INFO,
-                () -> line(event, runner).with("revision", change.revision()).toString());
+                () -> runnerEvent(event, runner)
+                        .with("revision", change.revision())
+                        .toString());
     }
 
-    private static LogLine line(String event, Runner runner) {
+    private static LogLine runnerEvent(String event, Runner runner) {
         return LogLine.of(event)
                 .with("runner", runner.incarnation())
                 .with("service", runner.service())
--- a/parsleydrift-registry/src/test/java/org/parsleydrift/registry/RunnerLivesTest.java
+++ b/parsleydrift-registry/src/test/java/org/parsleydrift/registry/RunnerIncarnationTest.java
@@ -12,8 +12,8 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Which life of a runner the registry names. Contents here are "BORN ADDRESS", or nonsense. */
-public class RunnerLivesTest {
+/** Which incarnation of a runner the registry exposes. Test entries hold "START ADDRESS", or are invalid. */
+public class RunnerIncarnationTest {
     private Registry registry;
     private long revision;
 
@@ -33,8 +33,8 @@
                 if (space < 0) {
                     throw new StepException(Step.PARSE, name, "nonsense");
                 }
-                long born = Long.parseLong(text.substring(0, space));
-                return new Runner(name, born, "s", text.substring(space + 1), "z", 4, false);
+                long startMillis = Long.parseLong(text.substring(0, space));
+                return new Runner(name, startMillis, "s", text.substring(space + 1), "z", 4, false);
             }
         });
     }
@@ -43,46 +43,40 @@
         registry.applyRunnerChanges(List.of(new SharedObject(name, ++revision, false, content.getBytes(UTF_8))));
     }
 
-    private List<String> lives() {
+    private List<String> incarnations() {
         return registry.runners("s").stream().map(Runner::incarnation).sorted().toList();
     }
 
-    /** A restart under the same id is another runner: what is to be sent to the former life must not go to it. */
+    /** Guards against sending requests for the former incarnation to the restarted process. */
     @Test
-    public void aRestartUnderTheSameIdIsAnotherLife() {
+    public void restartUnderTheSameIdIsANewIncarnation() {
         entry("r", "100 10.0.0.1:1");
         Runner former = registry.runners("s").getFirst();
         entry("r", "200 10.0.0.1:1");
-        assertEquals(lives(), List.of("r@200"));
+        assertEquals(incarnations(), List.of("r@200"));
         assertFalse(registry.isUsable(former));
         assertTrue(registry.isUsable(registry.runners("s").getFirst()));
     }
 
-    /**
-     * Symptom: a restarted runner gets no requests, or they go to its former address. Events: the runner restarts under its
-     * id; then an entry that its former life had sent arrives. Cause: entries were taken in by revision alone.
-     */
+    /** Guards against a late entry of the former incarnation overriding the current one. */
     @Test
-    public void newsOfAFormerLifeNeverOverrideTheNewOne() {
+    public void entriesOfAFormerIncarnationAreIgnored() {
         entry("r", "200 10.0.0.2:1");
         entry("r", "100 10.0.0.1:1");
-        assertEquals(lives(), List.of("r@200"));
+        assertEquals(incarnations(), List.of("r@200"));
         registry.applyRunnerChanges(List.of(new SharedObject("r", ++revision, true, new byte[0])));
         entry("r", "100 10.0.0.1:1");
-        assertEquals(lives(), List.of());
+        assertEquals(incarnations(), List.of());
     }
 
-    /**
-     * Symptom: requests go on to a runner whose entry another program has overwritten. Cause: an entry that could not be
-     * read was logged and the former one kept.
-     */
+    /** Guards against sending requests to a runner whose entry has been overwritten with invalid content. */
     @Test
-    public void anEntryThatTurnsUnreadableNamesNoRunner() {
+    public void unreadableEntryRemovesTheRunner() {
         entry("r", "100 10.0.0.1:1");
         entry("other", "100 10.0.0.2:1");
         entry("r", "nonsense");
-        assertEquals(lives(), List.of("other@100"));
+        assertEquals(incarnations(), List.of("other@100"));
         entry("r", "100 10.0.0.1:1");
-        assertEquals(lives(), List.of("other@100", "r@100"));
+        assertEquals(incarnations(), List.of("other@100", "r@100"));
     }
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/MeshPeer.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/MeshPeer.java
@@ -5,13 +5,13 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** Another entry node as this one hears of it. Confined to the mesh's loop. */
+/** State of another entry node as seen by this one. Confined to the event loop of the mesh. */
 final class MeshPeer {
     final NodeIdentity identity;
     private Optional<NodeState> state = Optional.empty();
-    private long saidNanos;
-    private OptionalLong directNanos = OptionalLong.empty();
-    private boolean countsByItself;
+    private long stateNanos;
+    private OptionalLong contactNanos = OptionalLong.empty();
+    private boolean countedIndividually;
 
     MeshPeer(NodeIdentity identity) {
         this.identity = identity;
@@ -21,62 +21,62 @@
         return identity.name();
     }
 
-    /** What it said last; empty once it has been silent. */
+    /** Returns the latest state of the peer; empty once it has timed out. */
     Optional<NodeState> state() {
         return state;
     }
 
-    long saidNanos() {
-        return saidNanos;
+    long stateNanos() {
+        return stateNanos;
     }
 
-    /** It spoke to this node itself. */
-    void spoke(long now) {
-        directNanos = OptionalLong.of(now);
+    /** Records that a frame was received from the peer itself. */
+    void recordContact(long now) {
+        contactNanos = OptionalLong.of(now);
     }
 
-    boolean spokeWithin(Duration span, long now) {
-        return directNanos.isPresent() && now - directNanos.getAsLong() < span.toNanos();
+    boolean hasContactWithin(Duration span, long now) {
+        return contactNanos.isPresent() && now - contactNanos.getAsLong() < span.toNanos();
     }
 
-    boolean saidWithin(Duration span, long now) {
-        return state.isPresent() && now - saidNanos < span.toNanos();
+    boolean hasStateWithin(Duration span, long now) {
+        return state.isPresent() && now - stateNanos < span.toNanos();
     }
 
-    /** Takes a state in if it is newer than what is known; gives whether it says anything else than before. */
-    boolean take(NodeState newer, long said) {
-        if (state.isPresent() && said - saidNanos <= 0) {
+    /** Updates the state if it is newer than the known one; returns whether its content changed. */
+    boolean updateState(NodeState newer, long newerNanos) {
+        if (state.isPresent() && newerNanos - stateNanos <= 0) {
             return false;
         }
-        boolean changed = state.isEmpty() || !state.get().saysTheSame(newer);
+        boolean changed = state.isEmpty() || !state.get().isEquivalent(newer);
         state = Optional.of(newer);
-        saidNanos = said;
+        stateNanos = newerNanos;
         return changed;
     }
 
-    void forgetState() {
+    void clearState() {
         state = Optional.empty();
     }
 
-    /** Whether the use that it told itself is counted, and not its zone's sum. */
-    boolean countsByItself() {
-        return countsByItself;
+    /** Whether the usage reported by the peer itself is counted, instead of the sum of its zone. */
+    boolean isCountedIndividually() {
+        return countedIndividually;
     }
 
-    void countByItself(boolean counts) {
-        countsByItself = counts;
+    void setCountedIndividually(boolean counted) {
+        countedIndividually = counted;
     }
 
-    /** Its state as its hub tells it; what it told of its use and knowledge itself is kept beside it. */
-    NodeState relayed(ZoneSummary.Member told) {
+    /** Combines the state relayed by the peer's hub with the usage and revisions that the peer last reported itself. */
+    NodeState relayedState(ZoneSummary.Member member) {
         return new NodeState(
-                told.name(),
+                member.name(),
                 Optional.empty(),
                 state.map(NodeState::round).orElse(0),
-                told.ready(),
-                told.reachesStores(),
-                told.reachesPlatform(),
-                state.map(NodeState::known).orElse(Map.of()),
-                state.map(NodeState::use).orElse(NodeUse.NONE));
+                member.ready(),
+                member.reachesStores(),
+                member.reachesPlatform(),
+                state.map(NodeState::freshness).orElse(Map.of()),
+                state.map(NodeState::usage).orElse(NodeUsage.NONE));
     }
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeIdentity.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeIdentity.java
@@ -8,17 +8,17 @@
 import org.parsleydrift.kernel.StepException;
 
 /**
- * An entry node as others know it.
+ * Name and addresses of an entry node, as published to its peers.
  *
- * @param name the VM's name
- * @param zone its availability zone
+ * @param name name of the VM
+ * @param zone availability zone of the VM
  * @param callers address for callers
  * @param link address for other processes of the system
  */
 record NodeIdentity(String name, String zone, String callers, String link) {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    byte[] json() {
+    byte[] toJson() {
         return MAPPER.createObjectNode()
                 .put("name", name)
                 .put("zone", zone)
@@ -28,7 +28,7 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    static NodeIdentity read(byte[] json) {
+    static NodeIdentity fromJson(byte[] json) {
         try {
             JsonNode root = MAPPER.readTree(json);
             return new NodeIdentity(
@@ -37,14 +37,14 @@
                     Address.parse(text(root, "callers")).toString(),
                     Address.parse(text(root, "link")).toString());
         } catch (IOException | IllegalArgumentException fault) {
-            throw new StepException(Step.PARSE, "platform", "bad node entry: " + fault.getMessage());
+            throw new StepException(Step.PARSE, "platform", "invalid node entry: " + fault.getMessage());
         }
     }
 
     private static String text(JsonNode root, String field) {
         JsonNode value = root.required(field);
         if (!value.isTextual() || value.asText().isEmpty()) {
-            throw new IllegalArgumentException(field + " is no text");
+            throw new IllegalArgumentException("field " + field + " must be a non-empty string, got " + value);
         }
         return value.asText();
     }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeUse.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeUsage.java
@@ -10,31 +10,31 @@
 import org.parsleydrift.placement.WindowCounts;
 
 /**
- * What an entry node, or several together, have in use.
+ * Usage of runners and quotas by one entry node, or summed over several.
  *
- * @param load requests at each runner, by the {@link org.parsleydrift.registry.RunnerKey} of the runner's life
- * @param teams use of the teams' allotments
+ * @param load number of requests at each runner, by the {@link org.parsleydrift.registry.RunnerKey} of its incarnation
+ * @param teams usage of the teams' quotas
  */
-record NodeUse(Map<Long, Integer> load, UsageReport teams) {
-    static final NodeUse NONE = new NodeUse(Map.of(), UsageReport.NONE);
+record NodeUsage(Map<Long, Integer> load, UsageReport teams) {
+    static final NodeUsage NONE = new NodeUsage(Map.of(), UsageReport.NONE);
 
     /** Copies the map. */
-    NodeUse {
+    NodeUsage {
         load = Map.copyOf(load);
     }
 
-    NodeUse plus(NodeUse other) {
+    NodeUsage plus(NodeUsage other) {
         Map<Long, Integer> sum = new HashMap<>(load);
         other.load.forEach((runner, requests) -> sum.merge(runner, requests, Integer::sum));
-        return new NodeUse(sum, teams.plus(other.teams));
+        return new NodeUsage(sum, teams.plus(other.teams));
     }
 
-    /** What is left without what one of the nodes told. */
-    NodeUse minus(NodeUse part) {
+    /** Subtracts the usage of one of the nodes; nothing becomes negative. */
+    NodeUsage minus(NodeUsage part) {
         Map<Long, Integer> rest = new HashMap<>(load);
         part.load.forEach((runner, requests) -> rest.merge(runner, -requests, Integer::sum));
         rest.values().removeIf(each -> each <= 0);
-        return new NodeUse(rest, teams.minus(part.teams));
+        return new NodeUsage(rest, teams.minus(part.teams));
     }
 
     void write(MessagePacker out) throws IOException {
@@ -45,29 +45,29 @@
         out.packInt(teams.nodes()).packInt(teams.unobservedMillis());
         out.packMapHeader(teams.teams().size());
         for (Map.Entry<String, TeamUsage> each : teams.teams().entrySet()) {
-            TeamUsage use = each.getValue();
+            TeamUsage usage = each.getValue();
             out.packString(each.getKey());
-            writeCount(out, use.sent());
-            writeCount(out, use.planned());
-            out.packInt(use.newDemand()).packInt(use.inProgressDemand());
+            writeCount(out, usage.sent());
+            writeCount(out, usage.planned());
+            out.packInt(usage.newDemand()).packInt(usage.inProgressDemand());
         }
     }
 
-    static NodeUse read(MessageUnpacker in) throws IOException {
+    static NodeUsage read(MessageUnpacker in) throws IOException {
         Map<Long, Integer> load = new HashMap<>();
-        int runners = in.unpackMapHeader();
-        for (int i = 0; i < runners; i++) {
+        int runnerCount = in.unpackMapHeader();
+        for (int i = 0; i < runnerCount; i++) {
             load.put(in.unpackLong(), in.unpackInt());
         }
         int nodes = in.unpackInt();
-        int unseenMillis = in.unpackInt();
+        int unobservedMillis = in.unpackInt();
         Map<String, TeamUsage> teams = new HashMap<>();
-        int named = in.unpackMapHeader();
-        for (int i = 0; i < named; i++) {
+        int teamCount = in.unpackMapHeader();
+        for (int i = 0; i < teamCount; i++) {
             String team = in.unpackString();
             teams.put(team, new TeamUsage(readCount(in), readCount(in), in.unpackInt(), in.unpackInt()));
         }
-        return new NodeUse(load, new UsageReport(nodes, unseenMillis, teams));
+        return new NodeUsage(load, new UsageReport(nodes, unobservedMillis, teams));
     }
 
     private static void writeCount(MessagePacker out, WindowCounts count) throws IOException {
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettingsReader.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettingsReader.java
@@ -18,48 +18,48 @@
 import org.parsleydrift.placement.QuotaPolicy;
 
 /**
- * Reads and checks settings: JSON with comments. All faults are told at once; fields that are not known are passed over.
- * Checked by hand and not by a schema library, which would double the time from start to ready.
+ * Reads and validates settings: JSON with comments. All errors are reported at once; unknown fields are ignored.
+ * Validated without a schema library, which would delay the start.
  */
 public final class RoleSettingsReader {
     private static final JsonMapper MAPPER =
             JsonMapper.builder().enable(JsonReadFeature.ALLOW_JAVA_COMMENTS).build();
 
-    /** With three store VMs one may be lost; a set that wants fewer could not be changed. */
+    /** The smallest number with which the store set can still be changed. */
     private static final int DEFAULT_TOLERATED_LOSSES = 1;
 
-    /** Long beside the tenths of a second after which nodes know of each other's requests. */
-    private static final double DEFAULT_ALLOTMENT_WINDOW_SECONDS = 5;
+    /** Long compared with the delay at which nodes exchange their usage. */
+    private static final double DEFAULT_QUOTA_WINDOW_SECONDS = 5;
 
     private final JsonNode root;
-    private final List<String> faults = new ArrayList<>();
+    private final List<String> errors = new ArrayList<>();
 
     private RoleSettingsReader(JsonNode root) {
         this.root = root;
     }
 
     /**
-     * Reads a file.
+     * Reads settings from a file.
      *
-     * @param file the file
+     * @param file path of the file
      * @return the settings
-     * @throws StepException with every fault
+     * @throws StepException listing all errors; also if the file cannot be read
      */
     public static RoleSettings read(Path file) {
         try {
             return parse(file.toString(), Files.readString(file));
         } catch (IOException fault) {
-            throw new StepException(Step.CONFIGURE, file.toString(), "can't be read: " + fault.getMessage());
+            throw new StepException(Step.CONFIGURE, file.toString(), "cannot be read: " + fault.getMessage());
         }
     }
 
     /**
-     * Reads a text.
+     * Reads settings from a text.
      *
-     * @param name its name, for errors
-     * @param text the text
+     * @param name name of the source, for errors
+     * @param text JSON with comments
      * @return the settings
-     * @throws StepException with every fault
+     * @throws StepException listing all errors
      */
     public static RoleSettings parse(String name, String text) {
         JsonNode root;
@@ -73,14 +73,14 @@
                             + fault.getLocation().getColumnNr() + ": " + fault.getOriginalMessage());
         }
         RoleSettingsReader reader = new RoleSettingsReader(root);
-        RoleSettings settings = reader.settings();
-        if (!reader.faults.isEmpty()) {
-            throw new StepException(Step.CONFIGURE, name, String.join("; ", reader.faults));
+        RoleSettings settings = reader.readSettings();
+        if (!reader.errors.isEmpty()) {
+            throw new StepException(Step.CONFIGURE, name, String.join("; ", reader.errors));
         }
         return settings;
     }
 
-    private RoleSettings settings() {
+    private RoleSettings readSettings() {
         RoleKind role = required("role", text -> RoleKind.valueOf(text.toUpperCase(Locale.ROOT)));
         boolean entry = role == RoleKind.ENTRY;
         int toleratedLosses = role == RoleKind.STORE ? toleratedLosses() : 0;
@@ -99,38 +99,39 @@
                 root.path("first_start").asBoolean(false),
                 toleratedLosses,
                 role == RoleKind.STORE ? storeMembers(2 * toleratedLosses + 1) : 0,
-                allotmentRule(),
+                quotaPolicy(),
                 required("grace_s", text -> Duration.ofMillis((long) (Double.parseDouble(text) * 1000))));
     }
 
-    private QuotaPolicy allotmentRule() {
-        double window = number("allotment_window_s", DEFAULT_ALLOTMENT_WINDOW_SECONDS);
+    private QuotaPolicy quotaPolicy() {
+        double window = nonNegative("allotment_window_s", DEFAULT_QUOTA_WINDOW_SECONDS);
         if (window == 0) {
-            faults.add("/allotment_window_s must be above 0");
+            errors.add("/allotment_window_s must be greater than 0");
         }
-        return new QuotaPolicy(Duration.ofMillis((long) (window * 1000)), number("allotment_slack", 0));
+        return new QuotaPolicy(Duration.ofMillis((long) (window * 1000)), nonNegative("allotment_slack", 0));
     }
 
-    private double number(String field, double usual) {
+    private double nonNegative(String field, double defaultValue) {
         JsonNode value = root.path(field);
         if (value.isMissingNode()) {
-            return usual;
+            return defaultValue;
         }
         if (!value.isNumber() || value.asDouble() < 0) {
-            faults.add("/" + field + " is no number from 0");
-            return usual;
+            errors.add("/" + field + " must be a number of at least 0, got " + value);
+            return defaultValue;
         }
         return value.asDouble();
     }
 
-    /** Unless said otherwise the least number of which a majority is left when as many disks as may be are lost at once. */
-    private int storeMembers(int least) {
+    /** The default is the smallest number of members that keeps a majority after the tolerated losses. */
+    private int storeMembers(int minimum) {
         JsonNode value = root.path("store_members");
         if (value.isMissingNode()) {
-            return least;
+            return minimum;
         }
-        if (!value.isIntegralNumber() || value.asInt() < least) {
-            faults.add("/store_members is no whole number from " + least + ", which the tolerated losses want");
+        if (!value.isIntegralNumber() || value.asInt() < minimum) {
+            errors.add("/store_members must be an integer of at least " + minimum + " for the tolerated losses, got "
+                    + value);
         }
         return value.asInt();
     }
@@ -141,7 +142,7 @@
             return DEFAULT_TOLERATED_LOSSES;
         }
         if (!value.isIntegralNumber() || value.asInt() < 0) {
-            faults.add("/tolerated_losses is no whole number from 0");
+            errors.add("/tolerated_losses must be an integer of at least 0, got " + value);
         }
         return Math.max(DEFAULT_TOLERATED_LOSSES, value.asInt());
     }
@@ -149,13 +150,13 @@
     private <T> T required(String field, Function<String, T> reader) {
         JsonNode value = root.path(field);
         if (!value.isValueNode() || value.asText().isBlank()) {
-            faults.add("/" + field + " is missing");
+            errors.add("/" + field + " is missing");
             return null;
         }
         try {
             return reader.apply(value.asText());
         } catch (IllegalArgumentException fault) {
-            faults.add("/" + field + ": " + fault.getMessage());
+            errors.add("/" + field + ": " + fault.getMessage());
             return null;
         }
     }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/StoreRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/StoreRole.java
@@ -17,30 +17,30 @@
 import org.parsleydrift.registry.SharedObject;
 import org.parsleydrift.registry.VersionedTable;
 
-/** The store role: a replica on the disk and the upkeep of the set. */
+/** Store role: keeps a replica of conversations on disk and maintains the store set. */
 final class StoreRole implements Role {
     private static final Logger LOG = System.getLogger(StoreRole.class.getName());
-    /** Longest wait of a watch: rare changes, and members tell each other of the set directly. */
+    /** Maximum duration of a watch. Changes are rare, and members exchange the store set directly. */
     private static final Duration WATCH_WAIT = Duration.ofSeconds(8);
 
     private static final int DISK_ID_BYTES = 8;
 
-    private final ProcessParts parts;
+    private final ProcessContext context;
     private final FileDurableLog log;
     private final ConversationReplica replica;
     private final ReplicaCalls calls;
-    private final StoreSetController keeper;
+    private final StoreSetController controller;
 
-    StoreRole(ProcessParts parts) {
-        this.parts = parts;
-        RoleSettings settings = parts.settings;
+    StoreRole(ProcessContext context) {
+        this.context = context;
+        RoleSettings settings = context.settings;
         this.log = new FileDurableLog(settings.dataFolder().orElseThrow(), new SystemClock());
-        this.replica = new ConversationReplica(parts.loop, log, settings.vm(), StoreRole::freshDiskId);
-        LinkFrames frames = new LinkFrames(parts, this::receive);
-        this.calls = new ReplicaCalls(parts.loop, frames, settings.link().toString(), replica);
-        this.keeper = new StoreSetController(
-                parts.loop,
-                parts.objects,
+        this.replica = new ConversationReplica(context.loop, log, settings.vm(), StoreRole::generateDiskId);
+        TcpFrameSender frames = new TcpFrameSender(context, this::receive);
+        this.calls = new ReplicaCalls(context.loop, frames, settings.link().toString(), replica);
+        this.controller = new StoreSetController(
+                context.loop,
+                context.objects,
                 replica,
                 calls,
                 settings.vm(),
@@ -50,8 +50,8 @@
                 settings.storeMembers());
     }
 
-    /** Made only for an empty disk: setting up the secure generator would lengthen each start. */
-    private static String freshDiskId() {
+    /** Generated for empty disks only: initializing the secure generator would delay each start. */
+    private static String generateDiskId() {
         byte[] id = new byte[DISK_ID_BYTES];
         new SecureRandom().nextBytes(id);
         return HexFormat.of().formatHex(id);
@@ -59,19 +59,20 @@
 
     @Override
     public void start() {
-        parts.loop.execute(() -> {
+        context.loop.execute(() -> {
             replica.start(calls);
-            ObjectWatcher sets = follower(ObjectKind.STORE_SET, keeper::onSetChanged);
-            keeper.setWatchListener(sets::follow);
+            ObjectWatcher sets = createWatcher(ObjectKind.STORE_SET, controller::onSetChanged);
+            controller.setWatchListener(sets::setWatching);
             sets.start();
-            follower(ObjectKind.RETIREMENTS, keeper::onRetirementsChanged).start();
-            keeper.start();
+            createWatcher(ObjectKind.RETIREMENTS, controller::onRetirementsChanged)
+                    .start();
+            controller.start();
         });
     }
 
     @Override
     public void drain() {
-        // What was acknowledged is on disk; nothing else here is owed to anybody.
+        // Acknowledged records are on disk; nothing else has to be finished.
         LOG.log(Logger.Level.INFO, LogLine.of("store_stopping").toString());
     }
 
@@ -86,16 +87,16 @@
         calls.receive(frame);
     }
 
-    private ObjectWatcher follower(ObjectKind kind, Consumer<List<SharedObject>> news) {
-        return parts.follow(kind, WATCH_WAIT, new VersionedTable(), new ObjectWatcher.Listener() {
+    private ObjectWatcher createWatcher(ObjectKind kind, Consumer<List<SharedObject>> changeListener) {
+        return context.createWatcher(kind, WATCH_WAIT, new VersionedTable(), new ObjectWatcher.Listener() {
             @Override
-            public void onChanges(List<SharedObject> changed) {
-                news.accept(changed);
+            public void onChanges(List<SharedObject> changes) {
+                changeListener.accept(changes);
             }
 
             @Override
-            public void onReachabilityChanged(boolean reached) {
-                // The follower has logged it; the set stays as it is until the platform is back.
+            public void onReachabilityChanged(boolean reachable) {
+                // Logged by the watcher; the set does not change during an outage.
             }
         });
     }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/LinkFrames.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/TcpFrameSender.java
@@ -4,13 +4,13 @@
 import org.parsleydrift.conversation.FrameSender;
 import org.parsleydrift.wire.FrameLinks;
 
-/** Frames between the processes of the system, over TCP at the settings' link address. */
-final class LinkFrames implements FrameSender {
+/** Sends and receives frames between the processes of the system over TCP, at the link address of the settings. */
+final class TcpFrameSender implements FrameSender {
     private final FrameLinks links;
 
-    LinkFrames(ProcessParts parts, Consumer<byte[]> receiver) {
-        Address link = parts.settings.link();
-        links = new FrameLinks(parts.threads, link.host(), link.port(), receiver);
+    TcpFrameSender(ProcessContext context, Consumer<byte[]> receiver) {
+        Address link = context.settings.link();
+        links = new FrameLinks(context.threads, link.host(), link.port(), receiver);
     }
 
     @Override
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ZoneHub.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ZoneHub.java
@@ -10,15 +10,15 @@
 import org.parsleydrift.registry.ObjectKind;
 
 /**
- * What a node does as the hub of its availability zone: it sums up what the nodes there say of themselves, tells the sums
- * to other zones, and passes on to its own zone the sums of all.
+ * Hub of an availability zone: aggregates the states of its nodes, sends the summary to other zones, and distributes
+ * the summaries of all zones in its own.
  */
 final class ZoneHub {
     static final byte ZONES = 16;
-    /** Of so many rounds one names the members of each zone, for nodes that missed the last naming. */
-    private static final int NAMES_EVERY = 3;
-    /** Of so many rounds one tells the members' addresses, for nodes that nothing else has told them. */
-    private static final int ADDRESSES_EVERY = 10;
+    /** Rounds between summaries that list the members, for nodes that missed the last list. */
+    private static final int NAMES_ROUNDS = 3;
+    /** Rounds between summaries that include the addresses of the members, for nodes that do not know them yet. */
+    private static final int ADDRESSES_ROUNDS = 10;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -36,41 +36,45 @@
     }
 
     /**
-     * Tells one round.
+     * Sends the summaries of one round.
      *
-     * @param plan whom to tell
-     * @param own this node's state
-     * @param probing whether nodes of this zone that seem gone are told too: one may have come back and know nobody
-     * @param mates nodes of this zone that this node hears itself, in the order of their names
-     * @param now the time
+     * @param plan receivers
+     * @param own state of this node
+     * @param probing whether the round also goes to nodes that have timed out, which may have restarted without knowing
+     *     any peer
+     * @param zonePeers nodes of this zone that this node hears directly, ordered by name
+     * @param now time on the clock, ns
      */
-    void tell(MeshPlan plan, NodeState own, boolean probing, List<MeshPeer> mates, long now) {
+    void sendSummaries(MeshPlan plan, NodeState own, boolean probing, List<MeshPeer> zonePeers, long now) {
         round++;
-        ZoneSummary summary = summary(own, mates, now);
-        // A node that has just come may know of nobody, of no other zone either.
-        boolean changed = !summary.members().equals(Optional.of(lastMembers));
+        ZoneSummary summary = summary(own, zonePeers, now);
+        // A node that has just started may not know any other node or zone.
+        boolean membersChanged = !summary.members().equals(Optional.of(lastMembers));
         lastMembers = summary.members().orElseThrow();
-        ZoneSummary.Detail detail = changed ? ZoneSummary.Detail.ADDRESSES : detail();
-        ZoneSummary told = summary.with(probing ? ZoneSummary.Detail.ADDRESSES : detail);
-        send(plan.zone(), List.of(told));
-        Stream<ZoneSummary> others = zones.toPassOn(self.zone(), detail, now).stream();
-        send(plan.all(), Stream.concat(Stream.of(told), others).toList());
+        ZoneSummary.Detail detail = membersChanged ? ZoneSummary.Detail.ADDRESSES : detail();
+        ZoneSummary detailed = summary.withDetail(probing ? ZoneSummary.Detail.ADDRESSES : detail);
+        send(plan.summaryReceivers(), List.of(detailed));
+        Stream<ZoneSummary> others = zones.summariesToForward(self.zone(), detail, now).stream();
+        send(
+                plan.allSummariesReceivers(),
+                Stream.concat(Stream.of(detailed), others).toList());
     }
 
     private ZoneSummary.Detail detail() {
-        if (round % ADDRESSES_EVERY == 1) {
+        if (round % ADDRESSES_ROUNDS == 1) {
             return ZoneSummary.Detail.ADDRESSES;
         }
-        return round % NAMES_EVERY == 0 ? ZoneSummary.Detail.NAMES : ZoneSummary.Detail.NONE;
+        return round % NAMES_ROUNDS == 0 ? ZoneSummary.Detail.NAMES : ZoneSummary.Detail.NONE;
     }
 
-    private ZoneSummary summary(NodeState own, List<MeshPeer> mates, long now) {
+    private ZoneSummary summary(NodeState own, List<MeshPeer> zonePeers, long now) {
         List<NodeState> states = Stream.concat(
-                        Stream.of(own), mates.stream().map(each -> each.state().orElseThrow()))
+                        Stream.of(own),
+                        zonePeers.stream().map(each -> each.state().orElseThrow()))
                 .toList();
         List<ZoneSummary.Member> members = Stream.concat(
                         Stream.of(member(self, own)),
-                        mates.stream()
+                        zonePeers.stream()
                                 .map(each -> member(each.identity, each.state().orElseThrow())))
                 .toList();
         if (!members.equals(lastMembers)) {
@@ -83,8 +87,8 @@
                 version,
                 Optional.of(members),
                 states.stream().map(NodeState::round).toList(),
-                known(own, mates, now),
-                states.stream().map(NodeState::use).reduce(NodeUse.NONE, NodeUse::plus));
+                zoneFreshness(own, zonePeers, now),
+                states.stream().map(NodeState::usage).reduce(NodeUsage.NONE, NodeUsage::plus));
     }
 
     private static ZoneSummary.Member member(NodeIdentity identity, NodeState state) {
@@ -92,27 +96,28 @@
                 identity.name(), Optional.of(identity), state.ready(), state.reachesStores(), state.reachesPlatform());
     }
 
-    /** Of each kind the newest change that any node knows, and how long ago the platform answered any. */
-    private static Map<ObjectKind, NodeState.Known> known(NodeState own, List<MeshPeer> mates, long now) {
-        Map<ObjectKind, NodeState.Known> known = new EnumMap<>(ObjectKind.class);
-        known.putAll(own.known());
-        mates.forEach(each -> {
-            long age = (now - each.saidNanos()) / NANOS_PER_MILLI;
+    /** Returns the latest revision that any node of the zone knows, and the lowest staleness, by kind. */
+    private static Map<ObjectKind, NodeState.Freshness> zoneFreshness(
+            NodeState own, List<MeshPeer> zonePeers, long now) {
+        Map<ObjectKind, NodeState.Freshness> freshness = new EnumMap<>(ObjectKind.class);
+        freshness.putAll(own.freshness());
+        zonePeers.forEach(each -> {
+            long age = (now - each.stateNanos()) / NANOS_PER_MILLI;
             each.state()
                     .orElseThrow()
-                    .known()
-                    .forEach((kind, theirs) -> known.merge(kind, theirs.later(age), NodeState.Known::newest));
+                    .freshness()
+                    .forEach((kind, theirs) -> freshness.merge(kind, theirs.agedBy(age), NodeState.Freshness::merge));
         });
-        return known;
+        return freshness;
     }
 
-    private void send(List<NodeIdentity> receivers, List<ZoneSummary> told) {
+    private void send(List<NodeIdentity> receivers, List<ZoneSummary> summaries) {
         if (receivers.isEmpty()) {
             return;
         }
         byte[] frame = MessagePackFrames.encode(out -> {
-            out.packByte(ZONES).packString(self.name()).packArrayHeader(told.size());
-            for (ZoneSummary each : told) {
+            out.packByte(ZONES).packString(self.name()).packArrayHeader(summaries.size());
+            for (ZoneSummary each : summaries) {
                 each.write(out);
             }
         });
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ZoneSummaries.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ZoneSummaries.java
@@ -9,84 +9,95 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** The newest summary of each availability zone that a node has heard, and what it told of them to the nodes of its own. */
+/**
+ * Latest summary received for each availability zone, and the versions of them that were sent to the nodes of the own
+ * zone.
+ */
 final class ZoneSummaries {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    private final Map<String, Heard> zones = new TreeMap<>();
-    private final Map<String, Long> toldVersions = new HashMap<>();
+    private final Map<String, Received> zones = new TreeMap<>();
+    private final Map<String, Long> sentVersions = new HashMap<>();
 
-    /** A summary, the members that hold for it, and when it was made. */
-    record Heard(ZoneSummary summary, Optional<List<ZoneSummary.Member>> members, long saidNanos) {
-        private boolean sameHub(ZoneSummary other) {
+    /** Received summary, the members that are valid for it, and the time at which it was created. */
+    record Received(ZoneSummary summary, Optional<List<ZoneSummary.Member>> members, long createdNanos) {
+        private boolean hasSameHub(ZoneSummary other) {
             return summary.hub().equals(other.hub());
         }
 
-        /** Members that the same hub doesn't name any more; those that a new hub hasn't heard yet may only be late. */
-        Set<String> leftBefore(Heard now) {
-            if (!sameHub(now.summary()) || members.isEmpty() || now.members().isEmpty()) {
+        /**
+         * Returns the members that the same hub no longer lists. A new hub may not have heard all members yet, so a
+         * change of the hub yields none.
+         */
+        Set<String> departedBefore(Received next) {
+            if (!hasSameHub(next.summary())
+                    || members.isEmpty()
+                    || next.members().isEmpty()) {
                 return Set.of();
             }
-            Set<String> left =
+            Set<String> departed =
                     members.get().stream().map(ZoneSummary.Member::name).collect(Collectors.toSet());
-            now.members().get().forEach(each -> left.remove(each.name()));
-            return left;
+            next.members().get().forEach(each -> departed.remove(each.name()));
+            return departed;
         }
     }
 
     /**
-     * Takes a summary in if it is newer than what is known of its zone.
+     * Applies a summary if it is newer than the known one of its zone.
      *
-     * @param told the summary
-     * @param saidNanos when it was made
-     * @return what holds for the zone from now on; empty if it is older
+     * @param summary the summary
+     * @param createdNanos time at which it was created, ns
+     * @return the state of the zone after the update; empty if the summary is outdated
      */
-    Optional<Heard> take(ZoneSummary told, long saidNanos) {
-        Heard known = zones.get(told.zone());
-        if (known != null && saidNanos - known.saidNanos() <= 0) {
+    Optional<Received> apply(ZoneSummary summary, long createdNanos) {
+        Received known = zones.get(summary.zone());
+        if (known != null && createdNanos - known.createdNanos() <= 0) {
             return Optional.empty();
         }
         boolean sameMembers =
-                known != null && known.sameHub(told) && known.summary().version() == told.version();
-        // A list of names alone must not take the place of one with addresses, which is passed on now and then.
-        boolean keep = sameMembers && known.members().isPresent() && !told.namesAddresses();
-        Optional<List<ZoneSummary.Member>> members = keep ? known.members() : told.members();
-        Heard heard = new Heard(told, members, saidNanos);
-        zones.put(told.zone(), heard);
-        return Optional.of(heard);
+                known != null && known.hasSameHub(summary) && known.summary().version() == summary.version();
+        // A list with addresses is kept, because it is forwarded to other nodes, which may not know the addresses.
+        boolean keep = sameMembers && known.members().isPresent() && !summary.hasAddresses();
+        Optional<List<ZoneSummary.Member>> members = keep ? known.members() : summary.members();
+        Received received = new Received(summary, members, createdNanos);
+        zones.put(summary.zone(), received);
+        return Optional.of(received);
     }
 
-    /** What is known of a zone. */
-    Optional<Heard> of(String zone) {
+    Optional<Received> of(String zone) {
         return Optional.ofNullable(zones.get(zone));
     }
 
-    /** Drops summaries that are older than a time; gives their zones. */
-    List<String> forgetOlder(Duration limit, long now) {
+    /** Removes summaries older than a limit; returns their zones. */
+    List<String> removeOlderThan(Duration limit, long now) {
         List<String> old = zones.entrySet().stream()
-                .filter(each -> now - each.getValue().saidNanos() > limit.toNanos())
+                .filter(each -> now - each.getValue().createdNanos() > limit.toNanos())
                 .map(Map.Entry::getKey)
                 .toList();
         old.forEach(zones::remove);
         return old;
     }
 
-    /** Summaries of all zones but one, to pass on; members that changed are told whatever the detail. */
-    List<ZoneSummary> toPassOn(String except, ZoneSummary.Detail detail, long now) {
+    /**
+     * Returns the summaries of all zones but one, for forwarding. Members that have changed are included at any level
+     * of detail.
+     */
+    List<ZoneSummary> summariesToForward(String except, ZoneSummary.Detail detail, long now) {
         return zones.values().stream()
                 .filter(each -> !each.summary().zone().equals(except))
                 .map(each -> {
                     ZoneSummary summary = each.summary();
-                    boolean changed = versionIsNews(summary.zone() + "/" + summary.hub(), summary.version());
-                    ZoneSummary.Detail told = changed ? ZoneSummary.Detail.ADDRESSES : detail;
-                    return summary.passedOn(each.members(), told, (now - each.saidNanos()) / NANOS_PER_MILLI);
+                    boolean changed = isUnsentVersion(summary.zone() + "/" + summary.hub(), summary.version());
+                    ZoneSummary.Detail included = changed ? ZoneSummary.Detail.ADDRESSES : detail;
+                    return summary.forForwarding(
+                            each.members(), included, (now - each.createdNanos()) / NANOS_PER_MILLI);
                 })
                 .toList();
     }
 
-    /** Whether members of this version were not told yet. */
-    private boolean versionIsNews(String origin, long version) {
-        Long former = toldVersions.put(origin, version);
+    /** Whether this version of the members has not been sent yet. */
+    private boolean isUnsentVersion(String origin, long version) {
+        Long former = sentVersions.put(origin, version);
         return former == null || former != version;
     }
 }
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshMember.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshMember.java
@@ -27,31 +27,31 @@
 import org.parsleydrift.registry.VersionedTable;
 import org.parsleydrift.relay.Dispatcher;
 
-/** An entry node's mesh on virtual time, linked to the others by a network with 1 ms of delay. */
+/** Mesh of one entry node on virtual time; frames to other members take 1 ms. */
 final class MeshMember {
     final NodeIdentity identity;
     final VersionedTable runners = new VersionedTable();
-    final Map<ObjectKind, Long> newest = new EnumMap<>(ObjectKind.class);
-    final Map<ObjectKind, FollowedObjects> following = new EnumMap<>(ObjectKind.class);
-    int silences;
-    final List<SharedObject> learned = new ArrayList<>();
+    final Map<ObjectKind, Long> latestRevisions = new EnumMap<>(ObjectKind.class);
+    final Map<ObjectKind, WatchedObjects> watched = new EnumMap<>(ObjectKind.class);
+    int outages;
+    final List<SharedObject> appliedChanges = new ArrayList<>();
     final NodeMesh mesh;
-    final QuotaTracker allotments;
+    final QuotaTracker quotas;
     boolean ready = true;
     boolean reachesStores = true;
-    boolean cut;
-    int sent;
-    long heardBytes;
+    boolean disconnected;
+    int sentFrames;
+    long receivedBytes;
     private final Map<String, MeshMember> members;
     private final ManualEventLoop loop;
     private final Random random;
 
-    /** A member that learns of runners from its peers alone. */
+    /** A member that receives runners from its peers only. */
     MeshMember(ManualScheduler time, Map<String, MeshMember> members, String name, String zone) {
         this(time, members, name, zone, Optional.empty(), 2);
     }
 
-    /** A member that follows runners and the manifest at the platform too. */
+    /** A member that also watches runners and the manifest on the platform. */
     MeshMember(
             ManualScheduler time,
             Map<String, MeshMember> members,
@@ -85,45 +85,45 @@
             }
         });
         Dispatcher dispatcher = new Dispatcher(registry, new Random(1), "z", time::nanos);
-        allotments = new QuotaTracker(time::nanos, random, new QuotaPolicy(Duration.ofSeconds(5), 20), () -> true);
+        quotas = new QuotaTracker(time::nanos, random, new QuotaPolicy(Duration.ofSeconds(5), 20), () -> true);
         mesh = new NodeMesh(
                 loop,
                 sender(),
                 identity,
-                new FleetUse(dispatcher, allotments),
+                new FleetUsage(dispatcher, quotas),
                 () -> ready,
                 () -> reachesStores,
                 random,
-                platform.map(this::following).orElseGet(() -> Map.of(ObjectKind.RUNNERS, followed())),
-                watches -> {});
+                platform.map(this::watchAll).orElseGet(() -> Map.of(ObjectKind.RUNNERS, peersOnly())),
+                enabled -> {});
         mesh.start();
     }
 
-    /** Ends the process: it neither speaks nor hears, and asks the platform for nothing. */
+    /** Ends the process: it sends and receives no frames, and sends no requests to the platform. */
     void kill() {
-        cut = true;
+        disconnected = true;
         loop.kill();
     }
 
-    private Map<ObjectKind, FollowedKind> following(SharedObjects platform) {
+    private Map<ObjectKind, WatchedKind> watchAll(SharedObjects platform) {
         return Stream.of(ObjectKind.RUNNERS, ObjectKind.MANIFEST)
-                .collect(Collectors.toMap(kind -> kind, kind -> followed(kind, platform)));
+                .collect(Collectors.toMap(kind -> kind, kind -> watch(kind, platform)));
     }
 
-    private FollowedObjects followed(ObjectKind kind, SharedObjects platform) {
-        FollowedObjects objects =
-                new FollowedObjects(kind, platform, loop, random, EntryRole.WATCH_WAIT, new ObjectWatcher.Listener() {
+    private WatchedObjects watch(ObjectKind kind, SharedObjects platform) {
+        WatchedObjects objects =
+                new WatchedObjects(kind, platform, loop, random, EntryRole.WATCH_WAIT, new ObjectWatcher.Listener() {
                     @Override
-                    public void onChanges(List<SharedObject> news) {
-                        news.forEach(each -> newest.merge(kind, each.revision(), Math::max));
+                    public void onChanges(List<SharedObject> changes) {
+                        changes.forEach(each -> latestRevisions.merge(kind, each.revision(), Math::max));
                     }
 
                     @Override
-                    public void onReachabilityChanged(boolean reached) {
-                        silences += reached ? 0 : 1;
+                    public void onReachabilityChanged(boolean reachable) {
+                        outages += reachable ? 0 : 1;
                     }
                 });
-        following.put(kind, objects);
+        watched.put(kind, objects);
         loop.execute(objects::start);
         return objects;
     }
@@ -133,9 +133,9 @@
             @Override
             public void send(String address, byte[] frame) {
                 MeshMember to = members.get(address);
-                sent++;
-                if (to != null && !cut && !to.cut) {
-                    to.heardBytes += frame.length;
+                sentFrames++;
+                if (to != null && !disconnected && !to.disconnected) {
+                    to.receivedBytes += frame.length;
                     to.loop.schedule(Duration.ofMillis(1), () -> to.mesh.receive(frame));
                 }
             }
@@ -145,16 +145,16 @@
         };
     }
 
-    private FollowedKind followed() {
-        return new FollowedKind() {
+    private WatchedKind peersOnly() {
+        return new WatchedKind() {
             @Override
             public long asOf() {
                 return runners.asOf();
             }
 
             @Override
-            public long newestChange() {
-                return runners.newestChange();
+            public long latestRevision() {
+                return runners.latestRevision();
             }
 
             @Override
@@ -163,42 +163,42 @@
             }
 
             @Override
-            public void lookAtAge(Duration checkAfter) {}
+            public void checkIfStale(Duration maxStaleness) {}
 
             @Override
-            public Duration age() {
+            public Duration staleness() {
                 return Duration.ZERO;
             }
 
             @Override
-            public boolean answered() {
+            public boolean isPlatformReachable() {
                 return true;
             }
 
             @Override
-            public Optional<Duration> answeredAge() {
+            public Optional<Duration> ownStaleness() {
                 return Optional.empty();
             }
 
             @Override
-            public void completeAt(long nanos) {}
+            public void recordCompleteAt(long nanos) {}
 
             @Override
-            public void follow(boolean watches) {}
+            public void setWatching(boolean enabled) {}
 
             @Override
-            public void onNews(Consumer<List<SharedObject>> taker) {}
+            public void setChangeListener(Consumer<List<SharedObject>> listener) {}
 
             @Override
-            public void learnChanges(ObjectChanges changes, long newestChange, long completeNanos) {
-                learned.addAll(runners.apply(changes));
-                runners.knows(newestChange);
+            public void applyChanges(ObjectChanges changes, long latestRevision, long completeNanos) {
+                appliedChanges.addAll(runners.apply(changes));
+                runners.advanceLatestRevision(latestRevision);
             }
 
             @Override
-            public void learn(ObjectChanges list, long newestChange, long completeNanos) {
-                learned.addAll(runners.replace(list));
-                runners.knows(newestChange);
+            public void applyList(ObjectChanges list, long latestRevision, long completeNanos) {
+                appliedChanges.addAll(runners.replace(list));
+                runners.advanceLatestRevision(latestRevision);
             }
         };
     }
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/NodeMeshTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/NodeMeshTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What entry nodes learn from each other. */
+/** Status exchange between two entry nodes. */
 public class NodeMeshTest {
     private ManualScheduler time;
     private Map<String, MeshMember> members;
@@ -23,16 +23,13 @@
         time = new ManualScheduler();
         members = new HashMap<>();
         List.of("a", "b").forEach(name -> members.put(name, new MeshMember(time, members, name, "zone")));
-        members.get("a").mesh.known(members.get("b").identity);
+        members.get("a").mesh.addPeer(members.get("b").identity);
         time.advance(Duration.ofSeconds(1));
     }
 
-    /**
-     * Symptom: a leaving runner gets requests from one node. Events: the platform turns that node away and serves its
-     * peers. Cause: it waits for the platform alone.
-     */
+    /** Guards against a node that the platform rejects sending requests to a draining runner. */
     @Test
-    public void aNodeThatThePlatformTurnsAwayLearnsFromItsPeer() {
+    public void rejectedNodeReceivesChangesFromItsPeer() {
         MeshMember a = members.get("a");
         MeshMember b = members.get("b");
         SharedObject runner = new SharedObject("r1", 5, false, new byte[] {1});
@@ -41,12 +38,12 @@
         a.runners.apply(new ObjectChanges(List.of(new SharedObject("r1", 5, true, new byte[0])), 9));
         time.advance(Duration.ofMillis(900));
         assertEquals(b.runners.present(), List.of());
-        assertEquals(b.learned.size(), 1);
+        assertEquals(b.appliedChanges.size(), 1);
     }
 
-    /** Changes of other kinds move the platform's counter; that alone is no news. */
+    /** The revision counter also advances with changes of other kinds, which must not cause a fetch. */
     @Test
-    public void aHigherCounterAloneIsNoReasonToAsk() {
+    public void higherCounterAloneCausesNoFetch() {
         MeshMember a = members.get("a");
         MeshMember b = members.get("b");
         SharedObject runner = new SharedObject("r1", 5, false, new byte[] {1});
@@ -57,31 +54,31 @@
         assertEquals(b.runners.asOf(), 5);
     }
 
-    /** Callers are told of nodes that are ready and heard of, and of no others. */
+    /** Guards against advertising nodes that are not ready or have timed out. */
     @Test
-    public void silentAndStoppingNodesAreNotNamed() {
+    public void timedOutAndDrainingNodesAreNotAdvertised() {
         MeshMember a = members.get("a");
         MeshMember b = members.get("b");
         assertEquals(a.mesh.readyAddresses(), List.of("a:80", "b:80"));
         b.ready = false;
-        b.mesh.tellNow();
+        b.mesh.sendNow();
         time.advance(Duration.ofMillis(5));
         assertEquals(a.mesh.readyAddresses(), List.of("a:80"));
         b.ready = true;
         time.advance(Duration.ofSeconds(1));
         assertEquals(a.mesh.readyAddresses(), List.of("a:80", "b:80"));
-        b.cut = true;
+        b.disconnected = true;
         time.advance(Duration.ofMillis(1300));
         assertEquals(a.mesh.readyAddresses(), List.of("a:80"));
     }
 
-    /** A node that is cut off from the store VMs finds a peer that is not. */
+    /** A node that cannot reach the store VMs finds a peer that can. */
     @Test
-    public void namesAPeerThatReachesTheStores() {
+    public void findsAPeerThatReachesTheStores() {
         MeshMember a = members.get("a");
-        assertEquals(a.mesh.peerThatReachesStores(), Optional.of("b"));
+        assertEquals(a.mesh.findPeerReachingStores(), Optional.of("b"));
         members.get("b").reachesStores = false;
         time.advance(Duration.ofMillis(500));
-        assertEquals(a.mesh.peerThatReachesStores(), Optional.empty());
+        assertEquals(a.mesh.findPeerReachingStores(), Optional.empty());
     }
 }
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/KnowledgeAfterSilenceTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/OutageRecoveryTest.java
@@ -15,14 +15,10 @@
 import org.testng.annotations.Test;
 
 /**
- * Entry nodes answered "no such route" for a route that the platform had acknowledged 2.7 s before. The platform had
- * answered nobody for nine seconds without closing a connection, and had been back for three. Watches that the nodes had
- * sent into the silence were never answered and were given up only after 4.7 to 8.7 s, so for seconds hardly a node knew
- * of the change, and where none did none could tell the others. In a like silence from 6.1 to 15.1 s six of seven nodes
- * had {@code platform_lost kind=MANIFEST reason=UNKNOWN} between 12.4 and 13.9 s, were hanging again when it ended, and
- * knew the next version by {@code learned_from_peer kind=MANIFEST own_as_of=34 as_of=59} alone.
+ * Guards against stale objects after an outage of the platform in which connections stay open and nothing is answered:
+ * watches sent during the outage are never answered, so changes made after it would be missed until they time out.
  */
-public class KnowledgeAfterSilenceTest {
+public class OutageRecoveryTest {
     private static final long SEEDS = 100;
 
     @DataProvider
@@ -31,7 +27,7 @@
     }
 
     @Test(dataProvider = "kinds")
-    public void aChangeIsKnownInTimeAfterASilenceOfThePlatform(ObjectKind kind) {
+    public void changeIsKnownInTimeAfterAnOutage(ObjectKind kind) {
         assertEquals(
                 lateSeeds(seed -> {
                     MeshFleet fleet = new MeshFleet(seed);
@@ -42,14 +38,14 @@
                     fleet.platform.silent(false);
                     fleet.time.advance(Duration.ofMillis(300));
                     fleet.change(kind, 5, Duration.ofMillis(32));
-                    return fleet.someNodeIsLate(kind);
+                    return fleet.isAnyNodeLate(kind);
                 }),
                 List.of());
     }
 
-    /** The same where all connections to the platform go silent at one moment, while new ones work. */
+    /** The same when all existing connections die at once while new ones work. */
     @Test(dataProvider = "kinds")
-    public void aChangeIsKnownInTimeAfterAllConnectionsWentSilent(ObjectKind kind) {
+    public void changeIsKnownInTimeAfterAllConnectionsDied(ObjectKind kind) {
         assertEquals(
                 lateSeeds(seed -> {
                     MeshFleet fleet = new MeshFleet(seed);
@@ -57,14 +53,14 @@
                     fleet.time.advance(Duration.ofMillis(500));
                     fleet.platform.loseWatches();
                     fleet.change(kind, 1, Duration.ofMillis(20));
-                    return fleet.someNodeIsLate(kind);
+                    return fleet.isAnyNodeLate(kind);
                 }),
                 List.of());
     }
 
-    /** Silences of any length, connections lost at any moment, one after the other; changes when the platform is back. */
+    /** Random sequences of outages and dead connections, followed by changes after each. */
     @Test
-    public void changesAreKnownInTimeAfterAnyRowOfSilences() {
+    public void changesAreKnownInTimeAfterRepeatedOutages() {
         assertEquals(
                 lateSeeds(seed -> {
                     MeshFleet fleet = new MeshFleet(seed);
@@ -79,15 +75,15 @@
                             fleet.platform.silent(false);
                         }
                         fleet.change(ObjectKind.MANIFEST, 1, Duration.ofMillis(1 + random.nextInt(1000)));
-                        return fleet.someNodeIsLate(ObjectKind.MANIFEST);
+                        return fleet.isAnyNodeLate(ObjectKind.MANIFEST);
                     });
                 }),
                 List.of());
     }
 
-    /** Sixty nodes, who pass states on by way of hubs, know in time as well. */
+    /** The same in a fleet of 60 nodes with hubs. */
     @Test
-    public void sixtyNodesKnowAChangeInTimeAfterAllConnectionsWentSilent() {
+    public void changeIsKnownInTimeInAFleetWithHubs() {
         assertEquals(
                 LongStream.range(0, 5)
                         .filter(seed -> {
@@ -96,7 +92,7 @@
                             fleet.time.advance(Duration.ofMillis(500));
                             fleet.platform.loseWatches();
                             fleet.change(ObjectKind.MANIFEST, 1, Duration.ofMillis(20));
-                            return fleet.someNodeIsLate(ObjectKind.MANIFEST);
+                            return fleet.isAnyNodeLate(ObjectKind.MANIFEST);
                         })
                         .boxed()
                         .toList(),
@@ -104,58 +100,55 @@
     }
 
     /**
-     * Nodes took a silence for ended, and noticed it anew, ten times a second. Each told the others how old its knowledge
-     * was, what it had from them included; every telling took some ms, and by so much the age came back younger:
-     * {@code platform_silent known_ms_ago=2028}, {@code 2117}, {@code 2207}, each after a {@code silence_ended}, while the
-     * platform answered nobody.
+     * Guards against staleness that shrinks as it is relayed between nodes, which would end and restart an outage
+     * repeatedly.
      */
     @Test
-    public void whatNodesTellEachOtherMakesKnowledgeNoYounger() {
+    public void relayedStalenessDoesNotShrink() {
         MeshFleet fleet = new MeshFleet(1);
         fleet.platform.silent(true);
-        Duration silence = Duration.ofSeconds(10);
-        fleet.time.advance(silence);
+        Duration outage = Duration.ofSeconds(10);
+        fleet.time.advance(outage);
         fleet.members.values().forEach(each -> {
-            Duration age = each.following.get(ObjectKind.MANIFEST).age();
-            assertTrue(age.compareTo(silence) >= 0, each.identity.name() + " takes its knowledge for " + age);
-            assertEquals(each.silences, 2, "silences noticed, of two kinds");
+            Duration staleness = each.watched.get(ObjectKind.MANIFEST).staleness();
+            assertTrue(staleness.compareTo(outage) >= 0, each.identity.name() + " has staleness " + staleness);
+            assertEquals(each.outages, 2, "outages detected, of two kinds");
         });
     }
 
-    /** A node that has only just started has been answered nothing, and must not speak for the platform. */
+    /** Guards against a node without any answer from the platform ending the outage for its peers. */
     @Test
-    public void aNodeThatStartsInASilenceDoesNotEndItForTheOthers() {
+    public void nodeStartedDuringAnOutageDoesNotEndIt() {
         MeshFleet fleet = new MeshFleet(1);
         fleet.platform.silent(true);
         fleet.time.advance(Duration.ofSeconds(5));
         fleet.add(fleet.members.size(), 99);
         fleet.members
                 .values()
-                .forEach(each -> fleet.members.values().forEach(other -> each.mesh.known(other.identity)));
+                .forEach(each -> fleet.members.values().forEach(other -> each.mesh.addPeer(other.identity)));
         fleet.time.advance(Duration.ofSeconds(1));
-        Duration age =
-                fleet.members.get("n00").following.get(ObjectKind.MANIFEST).age();
-        assertTrue(age.compareTo(Duration.ofSeconds(6)) >= 0, "age " + age);
+        Duration staleness =
+                fleet.members.get("n00").watched.get(ObjectKind.MANIFEST).staleness();
+        assertTrue(staleness.compareTo(Duration.ofSeconds(6)) >= 0, "staleness " + staleness);
     }
 
     /**
-     * Where the platform turned away the nodes that come first in the order of checks, the others left the checks to them
-     * for longer than knowledge may be old: a silence was noticed, ended and noticed anew, though four nodes of seven
-     * were served all the while.
+     * Guards against nodes that the platform rejects being given precedence for checks, which would let the copies
+     * become stale.
      */
     @Test
-    public void nodesThatAreTurnedAwayLeaveTheChecksToOthers() {
+    public void rejectedNodesLeaveChecksToOthers() {
         MeshFleet fleet = new MeshFleet(1, 0);
-        IntStream.range(0, 3).forEach(number -> fleet.add(number, number, new RefusingObjects()));
+        IntStream.range(0, 3).forEach(number -> fleet.add(number, number, new RejectingObjects()));
         IntStream.range(3, 7).forEach(number -> fleet.add(number, number));
-        fleet.introduce();
+        fleet.introduceAll();
         fleet.change(ObjectKind.MANIFEST, 1, Duration.ofSeconds(1));
         fleet.time.advance(Duration.ofSeconds(20));
         fleet.members
                 .values()
-                .forEach(each -> assertEquals(each.silences, 0, "silences noticed by " + each.identity.name()));
+                .forEach(each -> assertEquals(each.outages, 0, "outages detected by " + each.identity.name()));
         fleet.change(ObjectKind.MANIFEST, 1, Duration.ofMillis(1));
-        assertFalse(fleet.someNodeIsLate(ObjectKind.MANIFEST));
+        assertFalse(fleet.isAnyNodeLate(ObjectKind.MANIFEST));
     }
 
     @DataProvider
@@ -163,22 +156,21 @@
         return new Object[][] {{1}, {7}, {60}};
     }
 
-    /** Each call to the platform is priced and counts toward a rate: nodes check for each other, also in a silence. */
+    /** Guards against a number of checks that grows with the number of nodes, also during an outage. */
     @Test(dataProvider = "sizes")
-    public void checksDontGrowWithTheNodes(int nodes) {
+    public void checksDoNotGrowWithTheNumberOfNodes(int nodes) {
         MeshFleet fleet = new MeshFleet(1, nodes);
         Duration span = Duration.ofSeconds(20);
         long before = fleet.platform.checks();
         fleet.time.advance(span);
-        long quiet = fleet.platform.checks() - before;
+        long normalChecks = fleet.platform.checks() - before;
         fleet.platform.silent(true);
         fleet.time.advance(span);
-        long silent = fleet.platform.checks() - before - quiet;
-        // Of each of two kinds one check a second; in a silence a node asks the less often the more come before it,
-        // which
-        // adds up to the logarithm of their number: 3.5 a second for 7 nodes, 6 for 60.
-        assertTrue(quiet <= 2 * 1.2 * span.toSeconds(), "checks " + quiet);
-        assertTrue(silent <= 2 * 7 * span.toSeconds(), "checks in a silence " + silent);
+        long outageChecks = fleet.platform.checks() - before - normalChecks;
+        // One check per second for each of two kinds. During an outage a node checks the less often the more nodes
+        // precede it, which adds up to the logarithm of their number.
+        assertTrue(normalChecks <= 2 * 1.2 * span.toSeconds(), "checks " + normalChecks);
+        assertTrue(outageChecks <= 2 * 7 * span.toSeconds(), "checks during an outage " + outageChecks);
     }
 
     private static List<Long> lateSeeds(LongPredicate late) {
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/ZoneSummariesTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/ZoneSummariesTest.java
@@ -12,7 +12,7 @@
 import org.parsleydrift.placement.UsageReport;
 import org.testng.annotations.Test;
 
-/** What a node makes of the sums that hubs tell. */
+/** Processing of the summaries that hubs send. */
 public class ZoneSummariesTest {
     private static final long RUNNER = 7;
 
@@ -28,73 +28,66 @@
                         .toList()),
                 Arrays.stream(rounds).boxed().toList(),
                 Map.of(),
-                use(load));
+                usage(load));
     }
 
-    private static NodeUse use(int load) {
-        return new NodeUse(Map.of(RUNNER, load), UsageReport.NONE);
+    private static NodeUsage usage(int load) {
+        return new NodeUsage(Map.of(RUNNER, load), UsageReport.NONE);
     }
 
     private static Optional<List<String>> names(String... names) {
         return Optional.of(List.of(names));
     }
 
-    /**
-     * Symptom: runners look busier than they are by what the node itself has there, and get nothing from it. Events: the
-     * hub's sum holds what the node told two rounds ago, when it had three requests at the runner. Cause: the node adds
-     * the sum to what it has now.
-     */
+    /** Guards against counting a node's own load twice when its hub's sum contains an earlier value of it. */
     @Test
-    public void aNodeTakesItsOwnLoadOutOfTheSum() {
-        ToldUse told = new ToldUse();
-        told.told(1, use(3));
-        told.told(2, use(1));
+    public void ownLoadIsSubtractedFromTheSum() {
+        SentUsageHistory history = new SentUsageHistory();
+        history.add(1, usage(3));
+        history.add(2, usage(1));
         ZoneSummaries zones = new ZoneSummaries();
-        ZoneSummaries.Heard heard =
-                zones.take(summary("a", 1, names("a", "b"), 8, 40, 1), 100).orElseThrow();
-        assertEquals(told.othersIn(heard, "b"), use(5));
-        ZoneSummaries.Heard newer =
-                zones.take(summary("a", 1, Optional.empty(), 8, 41, 2), 200).orElseThrow();
-        assertEquals(told.othersIn(newer, "b"), use(7));
-        assertEquals(told.othersIn(newer, "c"), use(8));
+        ZoneSummaries.Received received =
+                zones.apply(summary("a", 1, names("a", "b"), 8, 40, 1), 100).orElseThrow();
+        assertEquals(history.usageOfOthers(received, "b"), usage(5));
+        ZoneSummaries.Received newer =
+                zones.apply(summary("a", 1, Optional.empty(), 8, 41, 2), 200).orElseThrow();
+        assertEquals(history.usageOfOthers(newer, "b"), usage(7));
+        assertEquals(history.usageOfOthers(newer, "c"), usage(8));
     }
 
-    /** Summaries come over several hubs and out of order; an older one changes nothing. */
+    /** Summaries arrive through several hubs and out of order; older ones must be ignored. */
     @Test
-    public void anOlderSummaryIsPassedOver() {
+    public void olderSummariesAreIgnored() {
         ZoneSummaries zones = new ZoneSummaries();
-        assertTrue(zones.take(summary("a", 1, names("a", "b"), 8, 1, 1), 200).isPresent());
-        assertFalse(zones.take(summary("a", 1, names("a"), 2, 1), 150).isPresent());
-        assertEquals(zones.of("z").orElseThrow().summary().use(), use(8));
+        assertTrue(zones.apply(summary("a", 1, names("a", "b"), 8, 1, 1), 200).isPresent());
+        assertFalse(zones.apply(summary("a", 1, names("a"), 2, 1), 150).isPresent());
+        assertEquals(zones.of("z").orElseThrow().summary().usage(), usage(8));
     }
 
-    /**
-     * Symptom: callers are not told of nodes that live. Events: a hub ends; the next one has heard only some nodes of the
-     * zone yet. Cause: nodes that the new hub doesn't name are taken for gone.
-     */
+    /** Guards against removing live nodes when a new hub has not heard all members of its zone yet. */
     @Test
-    public void onlyTheSameHubSaysWhoHasLeft() {
+    public void onlyTheSameHubRemovesMembers() {
         ZoneSummaries zones = new ZoneSummaries();
-        ZoneSummaries.Heard first =
-                zones.take(summary("a", 1, names("a", "b", "c"), 0), 100).orElseThrow();
-        ZoneSummaries.Heard same =
-                zones.take(summary("a", 2, names("a", "b"), 0), 200).orElseThrow();
-        assertEquals(first.leftBefore(same), Set.of("c"));
-        ZoneSummaries.Heard other =
-                zones.take(summary("b", 1, names("b"), 0), 300).orElseThrow();
-        assertEquals(same.leftBefore(other), Set.of());
+        ZoneSummaries.Received first =
+                zones.apply(summary("a", 1, names("a", "b", "c"), 0), 100).orElseThrow();
+        ZoneSummaries.Received same =
+                zones.apply(summary("a", 2, names("a", "b"), 0), 200).orElseThrow();
+        assertEquals(first.departedBefore(same), Set.of("c"));
+        ZoneSummaries.Received other =
+                zones.apply(summary("b", 1, names("b"), 0), 300).orElseThrow();
+        assertEquals(same.departedBefore(other), Set.of());
     }
 
-    /** A summary without members, of a version whose members were not heard, refreshes nobody. */
+    /** Guards against applying the members of a different version. */
     @Test
-    public void membersOfAnotherVersionDontHold() {
+    public void membersOfAnotherVersionAreNotUsed() {
         ZoneSummaries zones = new ZoneSummaries();
-        zones.take(summary("a", 1, names("a", "b"), 0), 100);
-        assertTrue(zones.take(summary("a", 1, Optional.empty(), 0), 200)
+        zones.apply(summary("a", 1, names("a", "b"), 0), 100);
+        assertTrue(zones.apply(summary("a", 1, Optional.empty(), 0), 200)
                 .orElseThrow()
                 .members()
                 .isPresent());
-        assertTrue(zones.take(summary("a", 2, Optional.empty(), 0), 300)
+        assertTrue(zones.apply(summary("a", 2, Optional.empty(), 0), 300)
                 .orElseThrow()
                 .members()
                 .isEmpty());
