--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/Deadline.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/Deadline.java
@@ -7,20 +7,20 @@
 import org.parsleydrift.kernel.platform.StoreException;
 import org.parsleydrift.kernel.platform.StoreFailure;
 
-/** Bounds the wait for an answer of the platform on the loop's clock. */
+/** Limits the wait for a response of the object store. */
 public final class Deadline {
     private Deadline() {}
 
     /**
-     * Gives an answer that fails as UNKNOWN when none comes in time. A connection that went silent never fails by
-     * itself: without this bound a node would wait for it for ever, and its programs with it.
+     * Adds a timeout to a request. A stalled connection may never fail by itself, so each request needs its own
+     * timeout.
      *
-     * @param loop the loop on whose clock to wait
-     * @param answer the answer awaited
-     * @param timeout how long to wait
-     * @param key the object concerned
-     * @param <T> the type of the answer
-     * @return completes as the answer does, or fails at the deadline
+     * @param loop the event loop on which the timeout runs
+     * @param answer the pending response
+     * @param timeout the maximum time to wait
+     * @param key the key of the requested object
+     * @param <T> the type of the response
+     * @return completes like the response, or fails with {@link StoreFailure#UNKNOWN} after the timeout
      */
     public static <T> CompletableFuture<T> bound(
             EventLoop loop, CompletableFuture<T> answer, Duration timeout, String key) {
--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/FencedException.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/FencedException.java
@@ -3,7 +3,7 @@
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 
-/** The journal was sealed by another node: this incarnation may not write, and must stop. */
+/** Thrown if another node has sealed the journal. The incarnation that owns the journal must stop. */
 public final class FencedException extends StepException {
     private final transient Seal seal;
 
@@ -13,9 +13,9 @@
     }
 
     /**
-     * The seal that was met.
+     * Returns the seal that was found in the journal.
      *
-     * @return the seal
+     * @return the seal, which names the successors
      */
     public Seal seal() {
         return seal;
--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalEntry.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalEntry.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** A record on its way into the journal. Confined to the node's loop. */
+/** An appended record that is not yet known to be durable. Not thread-safe, confined to the node's event loop. */
 public final class JournalEntry {
     private final byte[] record;
     private final CompletableFuture<Void> durable = new CompletableFuture<>();
@@ -12,9 +12,10 @@
     }
 
     /**
-     * Completes on the loop when the record is durable; fails with {@link FencedException} if it never will be.
+     * Returns the future of the write.
      *
-     * @return the future
+     * @return completes on the event loop when the record is durable; fails with {@link FencedException} if the journal
+     *     was sealed
      */
     public CompletableFuture<Void> durable() {
         return durable;
--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalOptions.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalOptions.java
@@ -3,17 +3,21 @@
 import java.time.Duration;
 
 /**
- * How a journal writes.
+ * Settings of the access to a journal.
  *
- * @param commitInterval the least time between the starts of two segment writes
- * @param answerTimeout after this time without an answer a write counts as unknown
- * @param retryDelay wait before a request that was refused or lost is made again
- * @param segmentBytes records are put into one segment up to this many bytes
+ * @param commitInterval the minimum time between the starts of two segment writes
+ * @param answerTimeout the time after which a request without a response has an unknown outcome
+ * @param retryDelay the delay before a rejected or lost request is retried
+ * @param segmentBytes the maximum total size of the records of one segment, 1 to 1,000,000 bytes
  */
 public record JournalOptions(Duration commitInterval, Duration answerTimeout, Duration retryDelay, int segmentBytes) {
     private static final int MAX_OBJECT_BYTES = 1_000_000;
 
-    /** Checks the bounds. */
+    /**
+     * Validates the segment size.
+     *
+     * @throws IllegalArgumentException if the segment size is out of range
+     */
     public JournalOptions {
         if (segmentBytes < 1 || segmentBytes > MAX_OBJECT_BYTES) {
             throw new IllegalArgumentException("segmentBytes " + segmentBytes);
@@ -21,9 +25,9 @@
     }
 
     /**
-     * Options that suit nine nodes under a platform allowance of 200 writes a second.
+     * Returns the default settings.
      *
-     * @return the defaults
+     * @return the settings
      */
     public static JournalOptions defaults() {
         return new JournalOptions(Duration.ofMillis(50), Duration.ofSeconds(2), Duration.ofMillis(200), 768 * 1024);
--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalReader.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalReader.java
@@ -10,7 +10,7 @@
 import org.parsleydrift.kernel.platform.ObjectStore;
 import org.parsleydrift.kernel.platform.StoredObject;
 
-/** Reads whole journals and seals them. */
+/** Reads, seals and deletes journals. */
 public final class JournalReader {
     private static final int READS_AT_ONCE = 16;
 
@@ -19,11 +19,11 @@
     private final JournalOptions options;
 
     /**
-     * Makes a reader.
+     * Creates a reader.
      *
-     * @param loop the node's loop
-     * @param store the platform
-     * @param options how long to wait for answers
+     * @param loop the node's event loop
+     * @param store the object store
+     * @param options the journal settings, of which only the request timeout is used
      */
     public JournalReader(EventLoop loop, ObjectStore store, JournalOptions options) {
         this.loop = loop;
@@ -32,10 +32,11 @@
     }
 
     /**
-     * Reads the segments that are still needed, the seal among them.
+     * Reads all segments needed for recovery, including the seal.
      *
-     * @param incarnation the journal's owner
-     * @return segments in order, from the last one's base on; fails if the platform does not answer
+     * @param incarnation the owner of the journal
+     * @return the segments in order, starting at the base of the last one; empty if there is no journal; fails if a
+     *     request to the object store fails
      */
     public CompletableFuture<List<Segment>> read(String incarnation) {
         return rows(incarnation)
@@ -47,11 +48,12 @@
     }
 
     /**
-     * Seals a journal, or finds the seal that is there.
+     * Seals a journal, or returns the existing seal.
      *
-     * @param incarnation the journal's owner
-     * @param seal the seal to set
-     * @return the seal in force, which may be another node's; fails if the platform does not answer
+     * @param incarnation the owner of the journal
+     * @param seal the seal to create if there is none
+     * @return the seal in force, which may have been created by another node; fails if a request to the object store
+     *     fails
      */
     public CompletableFuture<Seal> seal(String incarnation, Seal seal) {
         return rows(incarnation)
@@ -68,10 +70,10 @@
     }
 
     /**
-     * Deletes all segments of a sealed journal but the seal.
+     * Deletes all segments of a sealed journal except the seal.
      *
-     * @param incarnation the journal's owner
-     * @return completes when they are gone; fails if the platform does not answer
+     * @param incarnation the owner of the journal
+     * @return completes when the segments are deleted; fails if a request to the object store fails
      */
     public CompletableFuture<Void> deleteAllButSeal(String incarnation) {
         return rows(incarnation)
@@ -90,7 +92,7 @@
                 .handleAsync(
                         (version, failure) -> failure == null
                                 ? CompletableFuture.completedFuture(seal)
-                                // The owner wrote first, another node sealed first, or the answer was lost: look again.
+                                // The owner wrote a segment, another node sealed the journal, or the response was lost.
                                 : resolve(incarnation, key, seal, failure),
                         loop)
                 .thenCompose(result -> result);
--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalWriter.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalWriter.java
@@ -16,12 +16,12 @@
 import org.parsleydrift.kernel.platform.StoredObject;
 
 /**
- * Writes the journal of one node incarnation: one segment at a time, each created only if absent. Confined to the
- * node's loop.
+ * Writes the journal of one node incarnation, one segment at a time. Segments are created with a create-if-absent
+ * request. Not thread-safe, confined to the node's event loop.
  *
- * <p>An answer of the platform can be lost after the segment was created. The writer would then see a conflict on its
- * own object, or wait for ever; it reads the object back instead and compares. A seal at that place means that another
- * node took over while this one was paused: every entry fails with {@link FencedException}, once and for good.
+ * <p>If the response of the object store is lost or reports a conflict, the writer reads the object back to find out
+ * whether its own segment was stored. If it finds a seal instead, another node has taken over: the journal is fenced
+ * and all pending and later entries fail with {@link FencedException}.
  */
 public final class JournalWriter {
     private static final Logger LOG = System.getLogger(JournalWriter.class.getName());
@@ -44,13 +44,13 @@
     private FencedException fenced;
 
     /**
-     * Makes a writer for a new journal.
+     * Creates a writer for a new journal.
      *
-     * @param loop the node's loop
-     * @param store the platform
-     * @param incarnation the owner, a name never used before
-     * @param options how to write
-     * @param onFenced told once if the journal is found sealed
+     * @param loop the node's event loop
+     * @param store the object store
+     * @param incarnation the owner of the journal, a name never used before
+     * @param options the journal settings
+     * @param onFenced called once if the journal is found sealed
      */
     public JournalWriter(
             EventLoop loop,
@@ -69,11 +69,11 @@
     }
 
     /**
-     * Hands in a record. Records become durable in the order in which they were handed in.
+     * Appends a record. Records become durable in the order in which they were appended.
      *
-     * @param record its bytes
-     * @return the entry
-     * @throws StepException if the record is larger than a segment may be
+     * @param record the encoded record
+     * @return the entry, which has already failed if the journal is fenced
+     * @throws StepException if the record exceeds the maximum segment size
      */
     public JournalEntry append(byte[] record) {
         if (record.length > options.segmentBytes()) {
@@ -90,7 +90,7 @@
     }
 
     /**
-     * Sets the least time between two segment writes, from this node's share of the platform's write rate.
+     * Sets the minimum time between the starts of two segment writes, which limits this node's write rate.
      *
      * @param interval the new interval
      */
@@ -99,64 +99,64 @@
     }
 
     /**
-     * Declares segments below a number superfluous; the next segment carries the number.
+     * Raises the base, the lowest segment needed for recovery. The next segment stores it; a lower value is ignored.
      *
-     * @param newBase the lowest segment still needed
+     * @param newBase the sequence number of the lowest segment still needed
      */
     public void base(long newBase) {
         base = Math.max(base, newBase);
     }
 
     /**
-     * The base that the last durable segment carries; what lies below may be deleted.
+     * Returns the base stored in the last durable segment. Segments below it may be deleted.
      *
-     * @return the lowest segment that a reader will read
+     * @return the sequence number of the lowest segment that a reader reads, 1 at first
      */
     public long durableBase() {
         return durableBase;
     }
 
     /**
-     * The number of the last durable segment.
+     * Returns the sequence number of the last durable segment.
      *
-     * @return the number, 0 before the first
+     * @return the sequence number, 0 before the first durable segment
      */
     public long sequence() {
         return sequence;
     }
 
     /**
-     * How long the oldest unfinished write has been under way: the sign of a platform outage.
+     * Returns the age of the segment write in progress. A high age indicates an outage of the object store.
      *
-     * @return the time, zero if nothing is being written
+     * @return the time since the start of the write, zero if no write is in progress
      */
     public Duration stalledFor() {
         return writing ? Duration.ofNanos(loop.clock().nanos() - writeStartedNanos) : Duration.ZERO;
     }
 
     /**
-     * For how long this incarnation has had no proof that it owns its journal. The answer proves it for the time when
-     * the write began, not for when the answer came.
+     * Returns the time since this incarnation last proved that it owns its journal. A successful write proves ownership
+     * for the time when the write started, not for the time of the response.
      *
-     * @return the time since the start of the last write that became durable
+     * @return the time since the start of the last write that became durable, or since creation of this writer
      */
     public Duration sinceDurable() {
         return Duration.ofNanos(loop.clock().nanos() - lastDurableNanos);
     }
 
     /**
-     * Whether all that was handed in is durable.
+     * Returns whether no appended record is waiting or being written.
      *
-     * @return true if nothing waits
+     * @return true if no write is in progress and none is needed
      */
     public boolean idle() {
         return !writing && waiting.isEmpty();
     }
 
     /**
-     * Whether the journal was found sealed.
+     * Returns whether the journal was found sealed.
      *
-     * @return true if this incarnation is over
+     * @return true if this incarnation can no longer write
      */
     public boolean fenced() {
         return fenced != null;
@@ -241,7 +241,8 @@
         if (there.sealed()) {
             fence(there.seal());
         } else {
-            // Only the owner and sealers create objects here, and the owner writes one segment at a time: it is ours.
+            // Other nodes create only seals in this journal and the owner has one write in flight, so this is the
+            // segment being written.
             finish(mine);
         }
     }
--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/Seal.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/Seal.java
@@ -3,20 +3,21 @@
 import java.util.List;
 
 /**
- * The end of a journal, created at its next free sequence number. Whoever creates it has taken the right to write away
- * from the owner: the owner's own next create fails there.
+ * The end of a journal. A seal is created at the next free sequence number, so the owner's next create-if-absent
+ * request fails and the owner is fenced.
  *
- * @param sealedBy the node incarnation that created it; the owner itself after a drain
- * @param successors incarnations that take over, each the programs that hash to its position; never empty
+ * @param sealedBy the node incarnation that created the seal; the owner itself after a drain
+ * @param successors the incarnations that take over; each one takes over the programs whose hash selects its position;
+ *     never empty
  */
 public record Seal(String sealedBy, List<String> successors) {
-    /** Copies the list. */
+    /** Makes a defensive copy of the list. */
     public Seal {
         successors = List.copyOf(successors);
     }
 
     /**
-     * The incarnation that takes over a program.
+     * Returns the incarnation that takes over a program.
      *
      * @param programText the program's id as text
      * @return one of the successors
--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/Segment.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/Segment.java
@@ -7,20 +7,20 @@
 import org.parsleydrift.kernel.codec.MessagePackCodec;
 
 /**
- * One object of a journal: either records of its owner, or the seal that ends it (docs/design/journal.md).
+ * One object of a journal, which contains either records of the owner or the seal that ends the journal.
  *
- * @param incarnation the owner
- * @param sequence its number in the journal
- * @param base segments below this number hold nothing that is still needed
- * @param records the owner's records, in order; empty in a seal
- * @param seal the seal, or null in the owner's segments
+ * @param incarnation the owner of the journal
+ * @param sequence the sequence number in the journal, from 1
+ * @param base the sequence number of the lowest segment needed for recovery
+ * @param records the owner's records, in order; empty if this is the seal
+ * @param seal the seal, or null in a segment of records
  */
 public record Segment(String incarnation, long sequence, long base, List<byte[]> records, Seal seal) {
     private static final int COMPRESSION_LEVEL = 3;
     private static final int MAX_RAW_BYTES = 64 << 20;
 
     /**
-     * Whether this segment ends the journal.
+     * Returns whether this segment is the seal that ends the journal.
      *
      * @return true for a seal
      */
--- a/parsleydrift-journal/src/test/java/org/parsleydrift/journal/JournalHistoryTest.java
+++ b/parsleydrift-journal/src/test/java/org/parsleydrift/journal/JournalHistoryTest.java
@@ -16,9 +16,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Checks recorded histories of one owner and several sealers against what a journal promises: what was acknowledged is
- * there, once and in order; there is one seal; nothing stands behind it. The loops take turns on virtual time, so a
- * checker of thread interleavings has nothing to reach here; chance picks the interleaving instead.
+ * Checks random histories of one owner and several sealing nodes against the guarantees of a journal: acknowledged
+ * records are stored exactly once and in order, and the journal ends with its only seal.
  */
 public class JournalHistoryTest {
     private static final int RUNS = 200;
@@ -26,9 +25,8 @@
             new JournalOptions(Duration.ofMillis(10), Duration.ofMillis(200), Duration.ofMillis(20), 700 * 1024);
 
     /**
-     * Symptom: a record is acknowledged and gone after a takeover, or stands twice. Events: answers of the platform are
-     * lost after creates took effect, the owner pauses, two nodes seal at one moment. Cause: an owner that goes on
-     * behind a seal, or takes a lost answer for a failure.
+     * Guards against acknowledged records that are lost or duplicated when responses are lost, the owner is paused and
+     * two nodes seal the journal concurrently.
      */
     @Test
     public void acknowledgedRecordsAreThereOnceAndInOrder() {
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/DisruptorEventLoop.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/DisruptorEventLoop.java
@@ -9,7 +9,7 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 
-/** An event loop on a Disruptor ring: many producers, one consumer thread that also runs the timers. */
+/** An event loop on a Disruptor ring buffer with multiple producers and one consumer thread, which also runs timers. */
 public final class DisruptorEventLoop implements EventLoop, AutoCloseable {
     private static final Logger LOG = System.getLogger(DisruptorEventLoop.class.getName());
     private static final int RING_SIZE = 1 << 16;
@@ -23,10 +23,10 @@
     private volatile Thread consumer;
 
     /**
-     * Starts a loop.
+     * Creates and starts an event loop.
      *
-     * @param name the name of its thread
-     * @param clock the clock that it reads
+     * @param name the name of the consumer thread
+     * @param clock the clock of the loop
      */
     public DisruptorEventLoop(String name, RuntimeClock clock) {
         this.clock = clock;
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Hands a task to the loop. A task handed in on the loop's own thread goes to a local queue: if it waited for a
-     * slot in a full ring, the only thread that empties the ring would wait for itself.
+     * Executes a task on the event loop. A task submitted by the consumer thread goes to a local queue, because waiting
+     * for a free slot of the ring buffer would deadlock that thread.
      */
     @Override
     public void execute(Runnable task) {
@@ -91,7 +91,7 @@
         try {
             task.run();
         } catch (RuntimeException | AssertionError fault) {
-            // One faulty task must not end the loop and with it every program of the node; the line is the alarm.
+            // A failing task must not terminate the event loop and the other programs of the node.
             LOG.log(Logger.Level.ERROR, LogLine.of("loop_task_failed").toString(), fault);
         }
     }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/EventLoop.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/EventLoop.java
@@ -4,31 +4,32 @@
 import java.util.concurrent.Executor;
 
 /**
- * A single-threaded loop that owns all state of one node. Tasks run in the order in which they were handed in; timers
- * run on the loop. Replies of outside systems reach the loop as tasks, so no decision needs a lock.
+ * A single-threaded event loop that owns the state of one node. Tasks run in the order of submission. Timers and
+ * responses of external systems also run as tasks of the loop, so the state needs no locks.
  */
 public interface EventLoop extends Executor {
     /**
-     * The clock that this loop and all decisions on it read.
+     * Returns the clock on which delays of this loop are measured.
      *
-     * @return the clock
+     * @return the clock, the same in every call
      */
     RuntimeClock clock();
 
     /**
-     * Runs a task once, after a delay.
+     * Runs a task once after a delay.
      *
-     * @param delay the time to wait, on this loop's clock
-     * @param task what to run
-     * @return a handle that cancels the task if it has not run
+     * @param delay the delay on this loop's clock
+     * @param task the task to run
+     * @return a handle that cancels the task if it has not run yet
      */
     LoopTimer schedule(Duration delay, Runnable task);
 
     /**
-     * Runs a task again and again, each run one period after the previous one ended.
+     * Runs a task periodically. Each run starts one period after the end of the previous one; a run that throws an
+     * exception is the last one.
      *
-     * @param period the time between runs
-     * @param task what to run
+     * @param period the time between the end of a run and the start of the next one
+     * @param task the task to run
      */
     default void every(Duration period, Runnable task) {
         schedule(period, () -> {
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/LogLine.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/LogLine.java
@@ -1,6 +1,6 @@
 package org.parsleydrift.kernel;
 
-/** One event as a line of key=value pairs. Values with blanks, quotes or control characters are quoted. */
+/** A log event formatted as key=value pairs. Values with spaces, quotes or control characters are quoted. */
 public final class LogLine {
     private final StringBuilder text;
 
@@ -9,17 +9,17 @@
     }
 
     /**
-     * Starts a line.
+     * Creates a line with the name of its event.
      *
-     * @param event the name of the event, lower case with underscores
-     * @return a line to add pairs to
+     * @param event the name of the event in lower case with underscores
+     * @return the new line
      */
     public static LogLine of(String event) {
         return new LogLine(event);
     }
 
     /**
-     * Adds a pair.
+     * Appends a key=value pair.
      *
      * @param key the key
      * @param value the value; null is written as a dash
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Adds the step, the peer and the message of a failure.
+     * Appends the type and message of an exception, and the step and peer of a {@link StepException}.
      *
-     * @param failure what went wrong
+     * @param failure the exception; exceptions that futures add are unwrapped
      * @return this line
      */
     public LogLine failure(Throwable failure) {
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/LoopTimer.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/LoopTimer.java
@@ -1,8 +1,8 @@
 package org.parsleydrift.kernel;
 
-/** A timer on an event loop. */
+/** A handle to cancel a scheduled task or an operation in progress. */
 @FunctionalInterface
 public interface LoopTimer {
-    /** Cancels the timer; without effect if its task has run. */
+    /** Cancels the task or operation. Has no effect after its completion. */
     void cancel();
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/ManualEventLoop.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/ManualEventLoop.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.ArrayDeque;
 
-/** An event loop on virtual time that can be frozen (a paused VM) and killed (a dead process). */
+/** An event loop on virtual time for tests. It can be paused, like a VM, and killed, like a process. */
 public final class ManualEventLoop implements EventLoop {
     private final ManualScheduler scheduler;
     private final ArrayDeque<Runnable> held = new ArrayDeque<>();
@@ -29,12 +29,12 @@
         return scheduler.at(scheduler.nanos() + delay.toNanos(), () -> dispatch(task));
     }
 
-    /** Holds back all tasks and timers until {@link #thaw}; time goes on, as it does for a paused VM. */
+    /** Defers all tasks and timers until {@link #thaw}. The clock continues to run, as for a paused VM. */
     public void freeze() {
         frozen = true;
     }
 
-    /** Runs what was held back, in order, and goes on. */
+    /** Resumes the loop after {@link #freeze} and runs the deferred tasks in order. */
     public void thaw() {
         frozen = false;
         while (!held.isEmpty()) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Drops everything held or still to come. */
+    /** Discards all pending and future tasks. */
     public void kill() {
         killed = true;
         held.clear();
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/ManualScheduler.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/ManualScheduler.java
@@ -4,8 +4,8 @@
 import java.time.Instant;
 
 /**
- * Virtual time shared by any number of {@link ManualEventLoop}s. Nothing runs but inside {@link #advance}, always in
- * the same order, so a run with one seed repeats itself exactly.
+ * A deterministic scheduler with virtual time for any number of {@link ManualEventLoop}s. Tasks run only during
+ * {@link #advance} and in a fixed order, so a test with a fixed seed is reproducible.
  */
 public final class ManualScheduler implements RuntimeClock {
     private static final Instant ORIGIN = Instant.parse("2026-01-01T00:00:00Z");
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Makes a loop on this time.
+     * Creates an event loop on this scheduler's virtual time.
      *
      * @return a new loop
      */
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Advances time, running all that falls due on the way.
+     * Advances the virtual time and runs all tasks that become due.
      *
-     * @param span how far to advance
+     * @param span the time to advance
      */
     public void advance(Duration span) {
         long end = nowNanos + span.toNanos();
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/RuntimeClock.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/RuntimeClock.java
@@ -2,17 +2,17 @@
 
 import java.time.Instant;
 
-/** The clock of the runtime. Decisions read no other; tests pause and advance it. */
+/** The only source of time of the runtime, replaced by virtual time in tests. */
 public interface RuntimeClock {
     /**
-     * Reads wall-clock time, for records and logs only.
+     * Returns the wall-clock time, which may jump; for records and logs only.
      *
-     * @return the present instant, to the millisecond
+     * @return the current time with millisecond precision
      */
     Instant instant();
 
     /**
-     * Reads monotonic time, for timeouts and leases.
+     * Returns the monotonic time, for timeouts and leases.
      *
      * @return nanoseconds since an arbitrary origin, never decreasing
      */
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/Step.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/Step.java
@@ -1,27 +1,27 @@
 package org.parsleydrift.kernel;
 
-/** The step of a request or of background work at which something went wrong; part of every error. */
+/** The processing step at which an error occurred, reported in errors and logs. */
 public enum Step {
-    /** Reading and checking a request. */
+    /** Parsing and validating a request. */
     PARSE,
-    /** Reading settings at start. */
+    /** Reading the settings at startup. */
     CONFIGURE,
-    /** Deciding whether to take new work. */
+    /** Admission control of new work. */
     ADMIT,
-    /** Making a record durable. */
+    /** Writing a record to the journal. */
     COMMIT,
-    /** Choosing a runner. */
+    /** Placing a turn on a runner. */
     PLACE,
-    /** A model turn on an engine. */
+    /** Running a model turn on an engine. */
     TURN,
-    /** A call of a tool or a plain service. */
+    /** Calling a tool or a plain service. */
     CALL,
-    /** Passing a request to another node. */
+    /** Forwarding a request to another node. */
     FORWARD,
-    /** Reading, checking or changing the manifest. */
+    /** Reading, validating or changing the manifest. */
     MANIFEST,
-    /** Taking over the programs of a node that is gone. */
+    /** Taking over the programs of a stopped or failed node. */
     TAKEOVER,
-    /** A request to the platform's object API. */
+    /** Sending a request to the platform's object store. */
     PLATFORM
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/StepException.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/StepException.java
@@ -2,17 +2,17 @@
 
 import java.util.concurrent.CompletionException;
 
-/** An error that names the step and the peer at which it arose. */
+/** An exception with the processing step and the peer at which the error occurred. */
 public class StepException extends RuntimeException {
     private final Step step;
     private final String peer;
 
     /**
-     * Makes an error.
+     * Creates an exception.
      *
-     * @param step where it arose
-     * @param peer the other side, an address or a name; "self" if there is none
-     * @param message what happened, in a sentence
+     * @param step the step at which the error occurred
+     * @param peer the address or name of the peer; "self" if there is none
+     * @param message the description of the error
      */
     public StepException(Step step, String peer, String message) {
         super(message);
@@ -21,28 +21,28 @@
     }
 
     /**
-     * The step at which the error arose.
+     * Returns the step at which the error occurred.
      *
-     * @return the step
+     * @return the step, never null
      */
     public Step step() {
         return step;
     }
 
     /**
-     * The other side.
+     * Returns the peer at which the error occurred.
      *
-     * @return an address or a name; "self" if there is none
+     * @return an address or a name; "self" if there is no peer
      */
     public String peer() {
         return peer;
     }
 
     /**
-     * Finds the cause beneath the wrappers that futures add.
+     * Removes the {@link CompletionException}s that futures wrap around the cause of a failure.
      *
-     * @param failure what a future failed with
-     * @return the first cause that is no {@link CompletionException}
+     * @param failure the exception with which a future failed
+     * @return the first exception in the chain of causes that is not a {@link CompletionException}
      */
     public static Throwable unwrap(Throwable failure) {
         Throwable cause = failure;
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/SystemClock.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/SystemClock.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
 
-/** The machine's clock; the one place where real time enters. */
+/** The clock of the operating system. All other code reads the time through {@link RuntimeClock}. */
 public final class SystemClock implements RuntimeClock {
     private final Clock clock = Clock.systemUTC();
 
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/TimerQueue.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/TimerQueue.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Timers in order of their due time; equal times keep the order of entry. Confined to one loop. */
+/** A queue of timers, ordered by due time and then by insertion. Not thread-safe, confined to one event loop. */
 final class TimerQueue {
     private final PriorityQueue<Entry> entries =
             new PriorityQueue<>(Comparator.comparingLong(Entry::dueNanos).thenComparingLong(Entry::order));
@@ -15,7 +15,7 @@
         return entry;
     }
 
-    /** Takes the next entry due at or before the given time, or null. */
+    /** Removes and returns the first entry due at or before the given time, or null if there is none. */
     Entry poll(long nowNanos) {
         Entry head = entries.peek();
         while (head != null && head.cancelled) {
@@ -25,13 +25,13 @@
         return head != null && head.dueNanos <= nowNanos ? entries.poll() : null;
     }
 
-    /** The due time of the earliest entry, or Long.MAX_VALUE. */
+    /** Returns the due time of the first entry, or Long.MAX_VALUE if the queue is empty. */
     long nextDueNanos() {
         Entry head = entries.peek();
         return head == null ? Long.MAX_VALUE : head.dueNanos;
     }
 
-    /** A task and when it is due. */
+    /** A scheduled task. */
     static final class Entry implements LoopTimer {
         private final long dueNanos;
         private final long order;
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/JsonDocument.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/JsonDocument.java
@@ -21,9 +21,9 @@
 import java.util.Map;
 import org.parsleydrift.kernel.Step;
 
-/** A JSON text with comments, checked against a schema; its faults carry line and column. */
+/** A JSON document with comments. Validation errors carry line and column. */
 public final class JsonDocument {
-    /** Reads JSON with comments and writes JSON; names in snake case. */
+    /** Reads JSON with comments and writes JSON; property names are in snake case, unknown properties are ignored. */
     public static final ObjectMapper MAPPER = JsonMapper.builder()
             .enable(com.fasterxml.jackson.core.json.JsonReadFeature.ALLOW_JAVA_COMMENTS)
             .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
@@ -44,13 +44,13 @@
     }
 
     /**
-     * Parses a text.
+     * Parses a JSON text.
      *
-     * @param step the step to name in errors
-     * @param name the name of the text, for errors
-     * @param text JSON, comments allowed
+     * @param step the step reported in errors
+     * @param name the name of the text reported in errors, for example a file name
+     * @param text the JSON text; Java comments are allowed, duplicate keys are not
      * @return the document
-     * @throws JsonFaultsException if it is no JSON
+     * @throws JsonFaultsException if the text is not well-formed
      */
     public static JsonDocument parse(Step step, String name, String text) {
         try {
@@ -68,14 +68,15 @@
     }
 
     /**
-     * Checks the document against a schema that stands beside a class, and reads it.
+     * Validates the document against a schema and converts it to a value.
      *
-     * @param owner the class beside which the schema stands
-     * @param schemaFile the schema's file name
-     * @param type the type to make
-     * @param <T> the type to make
-     * @return the value
-     * @throws JsonFaultsException with every fault, if there is one
+     * @param owner the class in whose package the schema resource is found
+     * @param schemaFile the file name of the schema resource
+     * @param type the target type
+     * @param <T> the target type
+     * @return the converted value
+     * @throws JsonFaultsException if the document does not match the schema or the target type, with every error found
+     * @throws IllegalStateException if there is no such schema resource
      */
     public <T> T read(Class<?> owner, String schemaFile, Class<T> type) {
         Schema schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
@@ -95,11 +96,11 @@
     }
 
     /**
-     * Places a fault that a check of meaning found.
+     * Creates an error for a value of this document, for checks that go beyond the schema.
      *
-     * @param pointer the JSON pointer of the faulty value
-     * @param message what is wrong
-     * @return the fault with its line and column
+     * @param pointer the JSON pointer of the invalid value
+     * @param message the description of the error
+     * @return the error with the line and column of the value, or 1 and 1 if there is no such value
      */
     public JsonFault fault(String pointer, String message) {
         JsonLocation at = locations.get(pointer);
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/JsonFault.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/JsonFault.java
@@ -1,12 +1,12 @@
 package org.parsleydrift.kernel.codec;
 
 /**
- * A fault in a JSON text.
+ * An error in a JSON text.
  *
  * @param line the line, from 1
  * @param column the column, from 1
- * @param pointer the JSON pointer of the faulty value; empty for the document
- * @param message what is wrong
+ * @param pointer the JSON pointer of the invalid value; empty for the whole document
+ * @param message the description of the error
  */
 public record JsonFault(int line, int column, String pointer, String message) {
     @Override
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/JsonFaultsException.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/JsonFaultsException.java
@@ -5,16 +5,16 @@
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 
-/** A JSON text that was refused, with every fault found in it. */
+/** Thrown if a JSON text cannot be parsed or does not match its schema. Carries every error found. */
 public final class JsonFaultsException extends StepException {
     private final transient List<JsonFault> faults;
 
     /**
-     * Makes an error.
+     * Creates an exception.
      *
      * @param step the step that read the text
-     * @param name the name of the text, a file name for example
-     * @param faults all faults
+     * @param name the name of the text, for example a file name
+     * @param faults all errors found
      */
     public JsonFaultsException(Step step, String name, List<JsonFault> faults) {
         super(step, name, faults.stream().map(JsonFault::toString).collect(Collectors.joining("; ")));
@@ -22,9 +22,9 @@
     }
 
     /**
-     * The faults found.
+     * Returns the errors found.
      *
-     * @return all faults, in the order of the checks
+     * @return all errors in the order of the checks, within one check by line and column
      */
     public List<JsonFault> faults() {
         return faults;
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/MessagePackCodec.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/MessagePackCodec.java
@@ -7,7 +7,7 @@
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 
-/** Immutable data to MessagePack and back; fields added by a later version are passed over. */
+/** Converts records to MessagePack and back. Unknown fields, such as those added by a later version, are ignored. */
 public final class MessagePackCodec {
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory())
             .configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false);
@@ -17,9 +17,9 @@
     /**
      * Encodes a value.
      *
-     * @param value a record, or a collection of records
-     * @return its bytes
-     * @throws StepException if the value has no encoding
+     * @param value a record or a collection of records
+     * @return the encoded value
+     * @throws StepException if the value cannot be encoded
      */
     public static byte[] encode(Object value) {
         try {
@@ -32,12 +32,12 @@
     /**
      * Decodes a value.
      *
-     * @param bytes what {@link #encode} made
-     * @param type the type to make
-     * @param peer where the bytes came from, for the error
-     * @param <T> the type to make
-     * @return the value
-     * @throws StepException if the bytes are no such value
+     * @param bytes the value as encoded by {@link #encode}
+     * @param type the target type
+     * @param peer the source of the bytes, reported in errors
+     * @param <T> the target type
+     * @return the decoded value, never null
+     * @throws StepException if the bytes are malformed, do not match the type, or encode null
      */
     public static <T> T decode(byte[] bytes, Class<T> type, String peer) {
         try {
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/MessagePackFrames.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/MessagePackFrames.java
@@ -8,7 +8,7 @@
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 
-/** Frames written field by field, for processes whose start must be short: no reflection. */
+/** Encodes and decodes MessagePack frames field by field, without the startup cost of reflection. */
 public final class MessagePackFrames {
     private MessagePackFrames() {}
 
@@ -17,8 +17,8 @@
         /**
          * Writes the fields.
          *
-         * @param out where to
-         * @throws IOException if a field has no encoding
+         * @param out the packer to write to
+         * @throws IOException if a field cannot be encoded
          */
         void write(MessagePacker out) throws IOException;
     }
@@ -26,25 +26,25 @@
     /**
      * Reads the fields of a frame.
      *
-     * @param <T> what they make
+     * @param <T> the type of the decoded value
      */
     public interface Reader<T> {
         /**
          * Reads the fields.
          *
-         * @param in where from
-         * @return what they make
-         * @throws IOException if the bytes are none of ours
+         * @param in the unpacker to read from
+         * @return the decoded value
+         * @throws IOException if the frame is malformed
          */
         T read(MessageUnpacker in) throws IOException;
     }
 
     /**
-     * Makes a frame.
+     * Encodes a frame.
      *
      * @param writer writes the fields
-     * @return the frame's bytes
-     * @throws StepException if a field has no encoding
+     * @return the encoded frame
+     * @throws StepException if a field cannot be encoded
      */
     public static byte[] encode(Writer writer) {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
@@ -56,13 +56,13 @@
     }
 
     /**
-     * Reads a frame.
+     * Decodes a frame.
      *
-     * @param bytes the frame
+     * @param bytes the encoded frame
      * @param reader reads the fields
-     * @param <T> what they make
-     * @return what they make
-     * @throws StepException if the bytes are none of ours
+     * @param <T> the type of the decoded value
+     * @return the decoded value
+     * @throws StepException if the frame is malformed
      */
     public static <T> T decode(byte[] bytes, Reader<T> reader) {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/platform/ObjectStore.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/platform/ObjectStore.java
@@ -5,66 +5,67 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's object API (brief, "What the platform gives"). Every future fails with a {@link StoreException}; an
- * answer that is lost shows as {@link StoreFailure#UNKNOWN}. Futures may complete on any thread.
+ * A client of the platform's object store. Failed requests complete with a {@link StoreException}; a lost response is
+ * reported as {@link StoreFailure#UNKNOWN}. Futures may complete on any thread.
  */
 public interface ObjectStore {
     /**
      * Reads an object.
      *
-     * @param key its name
-     * @return the object, or empty if there is none
+     * @param key the key of the object
+     * @return the object, or empty if it does not exist
      */
     CompletableFuture<Optional<StoredObject>> read(String key);
 
     /**
-     * Creates an object if there is none of that name.
+     * Creates an object if it does not exist.
      *
-     * @param key its name
-     * @param value its bytes, at most 1 MB
-     * @return the version given to it; fails with CONFLICT if it exists
+     * @param key the key of the object
+     * @param value the content, at most 1 MB
+     * @return the version of the new object; fails with {@link StoreFailure#CONFLICT} if the object exists
      */
     CompletableFuture<Long> create(String key, byte[] value);
 
     /**
-     * Replaces an object if it still has the given version.
+     * Replaces an object if it has the expected version.
      *
-     * @param key its name
-     * @param version the version that the caller read
-     * @param value its new bytes
-     * @return the new version; fails with CONFLICT if the version differs
+     * @param key the key of the object
+     * @param version the expected version
+     * @param value the new content, at most 1 MB
+     * @return the new version; fails with {@link StoreFailure#CONFLICT} if the version differs
      */
     CompletableFuture<Long> update(String key, long version, byte[] value);
 
     /**
-     * Deletes an object; succeeds if there is none.
+     * Deletes an object. Succeeds if it does not exist.
      *
-     * @param key its name
-     * @return completes when it is gone
+     * @param key the key of the object
+     * @return completes when the object is deleted
      */
     CompletableFuture<Void> delete(String key);
 
     /**
-     * Lists objects by prefix, without their values.
+     * Lists the objects with a common key prefix, without their content.
      *
-     * @param prefix the start of their names
-     * @return rows in order of name
+     * @param prefix the key prefix
+     * @return the objects in order of their keys
      */
     CompletableFuture<List<StoredObject>> list(String prefix);
 
     /**
-     * Waits for an object to pass a version. Counts as a call while it waits.
+     * Waits until an object has a newer version (long poll). The request counts against the request limit while it
+     * waits.
      *
-     * @param key its name
-     * @param afterVersion the version already known; 0 for none
-     * @return the object once it is newer, or empty when the platform ends the wait
+     * @param key the key of the object
+     * @param afterVersion the version already known, or 0 if none is known
+     * @return the object once it has a newer version, or empty if the platform ends the wait
      */
     CompletableFuture<Optional<StoredObject>> watch(String key, long afterVersion);
 
     /**
-     * Reads the platform's list of VMs, which lags.
+     * Reads the platform's list of VMs, which is eventually consistent.
      *
-     * @return its rows
+     * @return the entries
      */
     CompletableFuture<List<VmEntry>> vms();
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/platform/StoreException.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/platform/StoreException.java
@@ -3,15 +3,15 @@
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 
-/** A failed request to the platform's object API. */
+/** Thrown if a request to the platform's object store fails. */
 public final class StoreException extends StepException {
     private final StoreFailure failure;
 
     /**
-     * Makes an error.
+     * Creates an exception.
      *
-     * @param failure how it failed
-     * @param key the object concerned
+     * @param failure the kind of failure
+     * @param key the key, or the key prefix, of the request
      */
     public StoreException(StoreFailure failure, String key) {
         super(Step.PLATFORM, "platform", failure + " on " + key);
@@ -19,19 +19,19 @@
     }
 
     /**
-     * How the request failed.
+     * Returns the kind of failure.
      *
-     * @return the kind of failure
+     * @return the kind of failure, never null
      */
     public StoreFailure failure() {
         return failure;
     }
 
     /**
-     * Classifies what a request to the platform failed with.
+     * Returns the kind of failure of a request.
      *
-     * @param thrown the failure of a future
-     * @return its kind; UNKNOWN for anything not typed, since the change may have happened
+     * @param thrown the exception with which the request's future failed
+     * @return the kind of failure; UNKNOWN for any other exception, since the change may have taken effect
      */
     public static StoreFailure of(Throwable thrown) {
         return unwrap(thrown) instanceof StoreException known ? known.failure() : StoreFailure.UNKNOWN;
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/platform/StoreFailure.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/platform/StoreFailure.java
@@ -1,13 +1,13 @@
 package org.parsleydrift.kernel.platform;
 
-/** How a request to the platform failed. */
+/** The kind of failure of an object store request. */
 public enum StoreFailure {
-    /** The condition did not hold: the object exists, or has another version. Nothing was changed. */
+    /** The object exists already or has another version than expected. Nothing was changed. */
     CONFLICT,
-    /** Past the rate allowance, or down and saying so. Nothing was changed. */
+    /** The request was rejected: rate limit exceeded or store unavailable. Nothing was changed. */
     REFUSED,
-    /** No answer: the change may have taken effect or may yet do so. */
+    /** No response was received. The change may have taken effect or may still do so. */
     UNKNOWN,
-    /** There is no such object. */
+    /** The object does not exist. */
     ABSENT
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/platform/StoredObject.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/platform/StoredObject.java
@@ -1,10 +1,10 @@
 package org.parsleydrift.kernel.platform;
 
 /**
- * An object as the platform holds it.
+ * An object in the platform's object store.
  *
- * @param key its name
- * @param version grows with each change of the object
- * @param value its bytes, at most 1 MB; empty in the rows of a list
+ * @param key the unique key
+ * @param version the version, which increases with each change of the object
+ * @param value the content, at most 1 MB; empty in the entries of a listing
  */
 public record StoredObject(String key, long version, byte[] value) {}
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/platform/VmEntry.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/platform/VmEntry.java
@@ -1,10 +1,10 @@
 package org.parsleydrift.kernel.platform;
 
 /**
- * A row of the platform's VM list, which lags.
+ * An entry of the platform's VM list, which is eventually consistent.
  *
- * @param address the VM's address
- * @param zone its availability zone
- * @param leaving true once the VM is about to go
+ * @param address the address of the VM
+ * @param zone the availability zone of the VM
+ * @param leaving true if the VM is about to be terminated
  */
 public record VmEntry(String address, String zone, boolean leaving) {}
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/OutsidePlugin.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/OutsidePlugin.java
@@ -5,37 +5,37 @@
 import org.parsleydrift.kernel.upstream.EngineClient;
 
 /**
- * Speaks the protocols of one kind of outside systems. Plug-ins register themselves as services of this type; settings
- * choose one by name.
+ * Creates clients for the protocols of the external systems: object store, model engines, tools and services.
+ * Implementations are found by {@link java.util.ServiceLoader} and selected by name in the settings.
  */
 public interface OutsidePlugin {
     /**
-     * The name that settings use.
+     * Returns the name by which settings select this plug-in.
      *
-     * @return a short name
+     * @return the name, unique among the plug-ins of a process
      */
     String name();
 
     /**
-     * Opens a client of the platform.
+     * Creates a client of the platform's object store.
      *
-     * @param context what the process offers
+     * @param context the resources of the process
      * @return the client
      */
     ObjectStore platform(PluginContext context);
 
     /**
-     * Opens a client of model engines.
+     * Creates a client of model engines.
      *
-     * @param context what the process offers
+     * @param context the resources of the process
      * @return the client
      */
     EngineClient engines(PluginContext context);
 
     /**
-     * Opens a client of tools and plain services.
+     * Creates a client of tools and plain services.
      *
-     * @param context what the process offers
+     * @param context the resources of the process
      * @return the client
      */
     CallClient calls(PluginContext context);
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/PluginContext.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/PluginContext.java
@@ -3,20 +3,20 @@
 import java.util.Map;
 
 /**
- * What a plug-in is given to open its client.
+ * The resources with which a plug-in creates its clients.
  *
- * @param loop the node's loop
- * @param platform the platform's address
- * @param shared things that plug-ins of one process share, by type
+ * @param loop the node's event loop
+ * @param platform the address of the platform
+ * @param shared the objects shared by all plug-ins of the process, by type
  */
 public record PluginContext(org.parsleydrift.kernel.EventLoop loop, String platform, Map<Class<?>, Object> shared) {
     /**
-     * Finds a shared thing.
+     * Returns a shared object.
      *
-     * @param type its type
-     * @param <T> its type
-     * @return the thing
-     * @throws IllegalStateException if the process has none
+     * @param type the type under which the object is registered
+     * @param <T> the type of the object
+     * @return the object, never null
+     * @throws IllegalStateException if no object of this type is registered
      */
     public <T> T require(Class<T> type) {
         Object found = shared.get(type);
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/PluginRegistry.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/PluginRegistry.java
@@ -5,16 +5,16 @@
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 
-/** Finds plug-ins that registered themselves. */
+/** Finds plug-ins with {@link ServiceLoader}. */
 public final class PluginRegistry {
     private PluginRegistry() {}
 
     /**
      * Finds a plug-in by name.
      *
-     * @param name its name
+     * @param name the name of the plug-in
      * @return the plug-in
-     * @throws StepException if there is none of that name
+     * @throws StepException if there is no plug-in with this name
      */
     public static OutsidePlugin outside(String name) {
         ServiceLoader<OutsidePlugin> all = ServiceLoader.load(OutsidePlugin.class);
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/CallException.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/CallException.java
@@ -3,19 +3,19 @@
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 
-/** A failed call of an engine, a tool or a plain service. */
+/** Thrown if a call of an engine, a tool or a plain service fails. */
 public final class CallException extends StepException {
     private final CallFailure failure;
     private final boolean leaving;
 
     /**
-     * Makes an error.
+     * Creates an exception.
      *
      * @param step the step that made the call
-     * @param peer the upstream's address
-     * @param failure how it failed
-     * @param leaving true if the upstream said that it is leaving
-     * @param message what happened
+     * @param peer the address of the upstream
+     * @param failure the kind of failure
+     * @param leaving true if the upstream reported that it is shutting down
+     * @param message the description of the failure
      */
     public CallException(Step step, String peer, CallFailure failure, boolean leaving, String message) {
         super(step, peer, message);
@@ -24,28 +24,28 @@
     }
 
     /**
-     * How the call failed.
+     * Returns the kind of failure.
      *
-     * @return the kind of failure
+     * @return the kind of failure, never null
      */
     public CallFailure failure() {
         return failure;
     }
 
     /**
-     * Whether the upstream said that it is leaving.
+     * Returns whether the upstream reported that it is shutting down.
      *
-     * @return true if so
+     * @return true if the upstream accepts no further calls
      */
     public boolean leaving() {
         return leaving;
     }
 
     /**
-     * Classifies what a call failed with.
+     * Returns the kind of failure of a call.
      *
-     * @param thrown the failure of a future
-     * @return its kind; UNKNOWN for anything not typed, since the call may have run
+     * @param thrown the exception with which the call's future failed
+     * @return the kind of failure; UNKNOWN for any other exception, since the call may have run
      */
     public static CallFailure of(Throwable thrown) {
         return unwrap(thrown) instanceof CallException known ? known.failure() : CallFailure.UNKNOWN;
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/CallFailure.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/CallFailure.java
@@ -1,11 +1,11 @@
 package org.parsleydrift.kernel.upstream;
 
-/** How a call of an upstream failed. */
+/** The kind of failure of an upstream call. */
 public enum CallFailure {
-    /** It was not sent, or the upstream says that it did not run. */
+    /** The call was not sent, or the upstream reported that it did not run. */
     NOT_RUN,
-    /** It was sent and no whole answer came. */
+    /** The call was sent and no complete response was received, so it may have run. */
     UNKNOWN,
-    /** The upstream answered with an error: it is over. */
+    /** The upstream responded with an error; the call has ended. */
     FAILED
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/CallRequest.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/CallRequest.java
@@ -3,8 +3,8 @@
 /**
  * A call of a tool or of a plain service.
  *
- * @param callId names the call; the same in every attempt
- * @param operation the tool or service
- * @param body its arguments, a JSON text
+ * @param callId the id of the call, the same in every attempt
+ * @param operation the name of the tool or service
+ * @param body the arguments as JSON text
  */
 public record CallRequest(String callId, String operation, String body) {}
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/EngineClient.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/EngineClient.java
@@ -5,33 +5,33 @@
 import java.util.function.Consumer;
 import org.parsleydrift.kernel.LoopTimer;
 
-/** Model engines (brief, "What the platform gives"). Futures and tokens may come on any thread. */
+/** A client of model engines. Futures may complete and tokens may arrive on any thread. */
 public interface EngineClient {
     /**
-     * Runs a turn.
+     * Runs a model turn and streams the generated text.
      *
-     * @param runner the engine's address
+     * @param runner the address of the engine
      * @param request the turn
-     * @param tokens receives each piece of generated text in order
-     * @param done receives the result, or the failure; exactly one of both, once
-     * @return a handle whose cancel ends the stream on the engine
+     * @param tokens receives the generated text in chunks, in order
+     * @param done completed exactly once, with the result or exceptionally
+     * @return a handle whose cancellation ends the stream on the engine
      */
     LoopTimer turn(String runner, TurnRequest request, Consumer<String> tokens, CompletableFuture<TurnResult> done);
 
     /**
-     * Frees all that an engine holds for an owner. Idempotent.
+     * Frees all memory that an engine holds for an owner. Idempotent.
      *
-     * @param runner the engine's address
-     * @param owner the tag
-     * @return completes when it is freed
+     * @param runner the address of the engine
+     * @param owner the owner given in the turn requests
+     * @return completes when the memory is freed
      */
     CompletableFuture<Void> release(String runner, String owner);
 
     /**
-     * Lists what an engine holds.
+     * Lists the memory that an engine holds, by owner.
      *
-     * @param runner the engine's address
-     * @return its rows
+     * @param runner the address of the engine
+     * @return the entries, empty if the engine holds no memory
      */
     CompletableFuture<List<EngineMemory>> memory(String runner);
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/EngineMemory.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/EngineMemory.java
@@ -1,9 +1,9 @@
 package org.parsleydrift.kernel.upstream;
 
 /**
- * A piece of memory that an engine holds for somebody.
+ * Memory that an engine holds for an owner.
  *
- * @param owner the tag given with the turn: program id
- * @param tokens how many tokens it spans
+ * @param owner the owner given in the turn request: the program id
+ * @param tokens the number of tokens held
  */
 public record EngineMemory(String owner, int tokens) {}
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/TurnRequest.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/TurnRequest.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * One model turn for an engine.
+ * A request to an engine to run one model turn.
  *
- * @param streamId names the stream on the engine, unique per attempt
- * @param owner tags what the engine holds: program id
+ * @param streamId the id of the stream on the engine, unique per attempt
+ * @param owner the owner of the memory that the engine allocates: the program id
  * @param model the model to run
- * @param prompt the history, in order
- * @param maxTokens the most tokens to generate
+ * @param prompt the parts of the prompt, in order
+ * @param maxTokens the maximum number of tokens to generate
  */
 public record TurnRequest(String streamId, String owner, String model, List<String> prompt, int maxTokens) {}
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/TurnResult.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/TurnResult.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * What a finished model turn says.
+ * The result of a completed model turn.
  *
- * @param text the whole generated text
- * @param actions what the model asks for, each a line such as {@code tool registry.assign {"hull":7}}
- * @param promptTokens tokens of the prompt
- * @param cachedTokens of these, tokens that the engine had cached
- * @param outputTokens tokens generated
+ * @param text the complete generated text
+ * @param actions the requested actions, each a line such as {@code tool registry.assign {"hull":7}}
+ * @param promptTokens the number of tokens of the prompt
+ * @param cachedTokens the number of prompt tokens found in the engine's prefix cache
+ * @param outputTokens the number of generated tokens
  */
 public record TurnResult(String text, List<String> actions, int promptTokens, int cachedTokens, int outputTokens) {}
--- a/parsleydrift-logging/src/main/java/org/parsleydrift/logging/LogRing.java
+++ b/parsleydrift-logging/src/main/java/org/parsleydrift/logging/LogRing.java
@@ -17,17 +17,18 @@
 import org.parsleydrift.kernel.RuntimeClock;
 
 /**
- * A bounded log. Callers never wait: a full ring drops the line and counts it. Each kind of event has a rate, so that a
- * storm of one kind neither fills the output nor hides the others; what was left out is told once a second.
+ * An asynchronous log on a bounded ring buffer. Callers never block: lines are dropped while the buffer is full. The
+ * lines of each event are rate limited, so that a burst of one event does not displace others. Counts of dropped and
+ * suppressed lines are logged at most once per second.
  */
 final class LogRing {
-    /** Lines that may wait, a power of two; a second's worth at the rates below. */
+    /** Capacity in lines, a power of two as required by the ring buffer. */
     private static final int SIZE = 1 << 12;
-    /** Lines of one kind in a second; twice the usual requests of a node, so that only storms are thinned. */
+    /** Maximum number of lines of one event per second. */
     private static final int LINES_PER_SECOND = 60;
 
     private static final Duration DRAIN_PERIOD = Duration.ofMillis(100);
-    /** The same after a round that found nothing: a node at rest then wakes twice a second for its log, and not ten times. */
+    /** Drain period while there is nothing to write, longer to reduce wake-ups of an idle process. */
     private static final Duration IDLE_DRAIN_PERIOD = Duration.ofMillis(500);
 
     private static final Duration WINDOW = Duration.ofSeconds(1);
@@ -50,7 +51,7 @@
         thread.start();
     }
 
-    /** Hands in a line; never waits. */
+    /** Adds a line without blocking. Errors are not rate limited. */
     void publish(Level level, String logger, String message, Throwable thrown) {
         if (level.getSeverity() < Level.ERROR.getSeverity() && !admitted(message)) {
             return;
@@ -74,7 +75,7 @@
         }
     }
 
-    /** Writes out all that waits; gives whether there was anything. */
+    /** Writes all buffered lines and returns whether anything was written. */
     synchronized boolean drain() {
         try {
             poller.poll((line, sequence, endOfBatch) -> {
--- a/parsleydrift-logging/src/main/java/org/parsleydrift/logging/RingLogger.java
+++ b/parsleydrift-logging/src/main/java/org/parsleydrift/logging/RingLogger.java
@@ -3,7 +3,7 @@
 import java.text.MessageFormat;
 import java.util.ResourceBundle;
 
-/** A logger that hands lines to the ring. Lines below INFO, and those of libraries below WARNING, are left out. */
+/** A logger on the ring buffer. It discards lines below INFO, and lines of third-party libraries below WARNING. */
 final class RingLogger implements System.Logger {
     private static final String OWN = "org.parsleydrift";
 
--- a/parsleydrift-logging/src/main/java/org/parsleydrift/logging/RingLoggerFinder.java
+++ b/parsleydrift-logging/src/main/java/org/parsleydrift/logging/RingLoggerFinder.java
@@ -4,11 +4,11 @@
 import java.io.FileOutputStream;
 import org.parsleydrift.kernel.SystemClock;
 
-/** Gives every {@link System.Logger} of the process the same bounded log on standard output. */
+/** Provides loggers that share one bounded asynchronous log on standard output. */
 public final class RingLoggerFinder extends System.LoggerFinder {
     private static final LogRing RING = new LogRing(new FileOutputStream(FileDescriptor.out), new SystemClock());
 
-    /** For the service loader. */
+    /** Called by the {@link java.util.ServiceLoader}. */
     public RingLoggerFinder() {}
 
     @Override
@@ -16,7 +16,7 @@
         return new RingLogger(name, RING);
     }
 
-    /** Writes out all that waits; for the end of the process. */
+    /** Writes all buffered lines. To be called before the process exits. */
     public static void flush() {
         RING.drain();
     }
--- a/parsleydrift-logging/src/test/java/org/parsleydrift/logging/LogRingTest.java
+++ b/parsleydrift-logging/src/test/java/org/parsleydrift/logging/LogRingTest.java
@@ -13,7 +13,7 @@
 import org.parsleydrift.kernel.ManualScheduler;
 import org.testng.annotations.Test;
 
-/** The log under storms and with an output that takes nothing. */
+/** Tests the log with bursts of lines and with a blocked output. */
 public class LogRingTest {
     private final ManualScheduler time = new ManualScheduler();
 
@@ -24,7 +24,7 @@
                 .count();
     }
 
-    /** A storm of one kind is thinned, told, and hides no other kind. */
+    /** Guards against a burst of one event that fills the output, hides other events or is not reported. */
     @Test
     public void aStormOfOneKindIsThinnedAndTold() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -46,8 +46,7 @@
     }
 
     /**
-     * Symptom: requests stall while nobody reads the output. Events: the output blocks; lines go on coming. Cause: a log
-     * that waits for its output.
+     * Guards against callers that block because the log output is not read.
      */
     @Test
     public void aBlockedOutputBlocksNobody() {
--- a/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/Manifest.java
+++ b/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/Manifest.java
@@ -3,14 +3,14 @@
 import java.util.Map;
 
 /**
- * What an operator declares. Accepted whole or refused whole; once accepted it is what runs everywhere.
+ * The configuration of a deployment as declared by its operator. A manifest is accepted or rejected as a whole.
  *
- * @param deployment its name, for logs
- * @param weights weights of the placement policy
- * @param models models by name
- * @param agents agent programs by name
- * @param tools tools by name
- * @param services plain services by name
+ * @param deployment the name of the deployment, for logs; "unnamed" if absent
+ * @param weights the weights of the placement policy; all 1 if absent
+ * @param models the models by name
+ * @param agents the agent programs by name
+ * @param tools the tools by name; empty if absent
+ * @param services the plain services by name; empty if absent
  */
 public record Manifest(
         String deployment,
@@ -19,7 +19,7 @@
         Map<String, AgentSpec> agents,
         Map<String, OperationSpec> tools,
         Map<String, OperationSpec> services) {
-    /** Fills in defaults and copies the maps. */
+    /** Replaces absent values by their defaults and makes defensive copies of the maps. */
     public Manifest {
         deployment = deployment == null ? "unnamed" : deployment;
         weights = weights == null ? new PolicyWeights(1, 1) : weights;
--- a/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/ManifestParser.java
+++ b/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/ManifestParser.java
@@ -9,19 +9,19 @@
 import org.parsleydrift.kernel.codec.JsonFault;
 import org.parsleydrift.kernel.codec.JsonFaultsException;
 
-/** Reads a manifest, whole or not at all. */
+/** Parses and validates manifests. */
 public final class ManifestParser {
     private static final String SCHEMA = "manifest.schema.json";
 
     private ManifestParser() {}
 
     /**
-     * Reads and checks a manifest.
+     * Parses and validates a manifest.
      *
-     * @param name the name of the text, for errors
-     * @param text JSON with comments
+     * @param name the name of the text reported in errors, for example a file name
+     * @param text the manifest as JSON with comments
      * @return the manifest
-     * @throws JsonFaultsException with every fault, its line and its column
+     * @throws JsonFaultsException if the manifest is invalid, with the line and column of every error found
      */
     public static Manifest parse(String name, String text) {
         JsonDocument document = JsonDocument.parse(Step.MANIFEST, name, text);
--- a/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/ManifestVersion.java
+++ b/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/ManifestVersion.java
@@ -1,9 +1,9 @@
 package org.parsleydrift.manifest;
 
 /**
- * A manifest as accepted.
+ * An accepted version of the manifest.
  *
- * @param generation grows by one with each accepted manifest
- * @param text the text as submitted
+ * @param generation the generation number, which each accepted manifest increments by one
+ * @param text the manifest as submitted
  */
 public record ManifestVersion(long generation, String text) {}
--- a/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/ModelSpec.java
+++ b/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/ModelSpec.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * A model and where it runs.
+ * The declaration of a model.
  *
- * @param runners its engines
+ * @param runners the runners that serve the model
  */
 public record ModelSpec(List<RunnerSpec> runners) {
-    /** Copies the list. */
+    /** Makes a defensive copy of the list. */
     public ModelSpec {
         runners = List.copyOf(runners);
     }
--- a/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/OperationSpec.java
+++ b/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/OperationSpec.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * A tool or a plain service.
+ * The declaration of a tool or a plain service.
  *
- * @param upstreams addresses that serve it
- * @param repeatable false if a call must run at most once
- * @param timeoutSeconds how long to wait for an answer; 30 if absent
- * @param attempts the most attempts of a repeatable call; 3 if absent
- * @param concurrency calls at once from one node; 64 if absent
+ * @param upstreams the addresses of its servers, IPv4 address and port
+ * @param repeatable whether calls are idempotent; false if a call must run at most once
+ * @param timeoutSeconds the timeout of one attempt in seconds; 30 if absent
+ * @param attempts the maximum number of attempts of a repeatable call; 3 if absent
+ * @param concurrency the maximum number of concurrent calls per node; 64 if absent
  */
 public record OperationSpec(
         List<String> upstreams, boolean repeatable, Integer timeoutSeconds, Integer attempts, Integer concurrency) {
@@ -18,7 +18,7 @@
     private static final int DEFAULT_ATTEMPTS = 3;
     private static final int DEFAULT_CONCURRENCY = 64;
 
-    /** Fills in defaults. */
+    /** Replaces absent values by their defaults and makes a defensive copy of the addresses. */
     public OperationSpec {
         upstreams = List.copyOf(upstreams);
         timeoutSeconds = timeoutSeconds == null ? DEFAULT_TIMEOUT_SECONDS : timeoutSeconds;
@@ -27,9 +27,9 @@
     }
 
     /**
-     * How long to wait for an answer.
+     * Returns the timeout of one attempt.
      *
-     * @return the timeout of one attempt
+     * @return the timeout, a whole number of seconds
      */
     public Duration timeout() {
         return Duration.ofSeconds(timeoutSeconds);
--- a/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/PolicyWeights.java
+++ b/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/PolicyWeights.java
@@ -1,9 +1,9 @@
 package org.parsleydrift.manifest;
 
 /**
- * What the placement policy weighs (brief, "What we measure").
+ * The weights of the placement policy.
  *
- * @param programLatency weight of program latency
- * @param wastedCache weight of prompt tokens prefilled again
+ * @param programLatency the weight of the program latency, not negative
+ * @param wastedCache the weight of prompt tokens that are prefilled again because of a cache miss, not negative
  */
 public record PolicyWeights(double programLatency, double wastedCache) {}
--- a/parsleydrift-manifest/src/test/java/org/parsleydrift/manifest/ManifestParserTest.java
+++ b/parsleydrift-manifest/src/test/java/org/parsleydrift/manifest/ManifestParserTest.java
@@ -8,7 +8,7 @@
 import org.parsleydrift.kernel.codec.JsonFaultsException;
 import org.testng.annotations.Test;
 
-/** Manifests are taken whole or refused whole, with every fault at its place. */
+/** Tests the validation of manifests, which reports every error with its line and column. */
 public class ManifestParserTest {
     private static final String GOOD = """
             // comment
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/Action.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/Action.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
-/** What a model turn asks for. Actions of one turn are carried out in their order. */
+/** An action requested by a model turn. The actions of one turn run in the order in which the model lists them. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "a")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = Action.CallTool.class, name = "t"),
@@ -13,33 +13,34 @@
 })
 public sealed interface Action {
     /**
-     * Call a tool.
+     * Calls a tool.
      *
      * @param tool the tool's name in the manifest
-     * @param arguments a JSON text
+     * @param arguments the arguments as JSON text
      */
     record CallTool(String tool, String arguments) implements Action {}
 
     /**
-     * Start a sub-agent. Neighbouring spawns run side by side; the next action waits for all of them.
+     * Starts a sub-agent. Consecutive spawns run in parallel; the action after them waits until all of them have ended.
      *
-     * @param agent its kind, a name in the manifest
-     * @param prompt its first input
+     * @param agent the agent's name in the manifest
+     * @param prompt the initial input of the sub-agent
      */
     record Spawn(String agent, String prompt) implements Action {}
 
-    /** Wait for the next message to the program. */
+    /** Waits for the next message to the program. */
     record AwaitMessage() implements Action {}
 
-    /** End the agent; for the root agent, the program. */
+    /** Ends the agent. The program ends with its root agent. */
     record End() implements Action {}
 
     /**
-     * Reads a line of an engine's reply.
+     * Parses one action line of an engine's response.
      *
      * @param line {@code tool NAME ARGUMENTS}, {@code spawn AGENT PROMPT}, {@code wait} or {@code end}
-     * @return the action
-     * @throws IllegalArgumentException if the line is none of these
+     * @return the parsed action; missing tool arguments are read as an empty JSON object, a missing prompt as an empty
+     *     text
+     * @throws IllegalArgumentException if the line has another form
      */
     static Action parse(String line) {
         String[] words = line.split(" ", 3);
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/BudgetLedger.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/BudgetLedger.java
@@ -1,17 +1,18 @@
 package org.parsleydrift.program;
 
 /**
- * Tokens of one program: the limit, what is spent, and what is reserved for turns under way. A value.
+ * Token accounting of one program: the limit, the tokens spent, and the tokens reserved for turns in progress.
+ * Immutable.
  *
- * @param limit tokens in all
- * @param spent tokens settled
- * @param reserved tokens of turns that have not ended
+ * @param limit the token limit of the program
+ * @param spent the tokens spent by turns that have ended
+ * @param reserved the tokens reserved for turns that have not ended
  */
 public record BudgetLedger(long limit, long spent, long reserved) {
     /**
-     * Checks that the budget holds.
+     * Checks that no count is negative.
      *
-     * @throws IllegalStateException if more is spent and reserved than the limit, which would be a fault of ours
+     * @throws IllegalStateException if the spent or the reserved tokens are negative
      */
     public BudgetLedger {
         if (spent < 0 || reserved < 0) {
@@ -20,31 +21,31 @@
     }
 
     /**
-     * How much a turn may reserve.
+     * Returns the number of tokens that a turn may reserve.
      *
-     * @param wanted the most tokens of the turn
-     * @return the lesser of this and what is left; 0 if nothing is left
+     * @param wanted the maximum number of tokens of the turn
+     * @return the smaller of {@code wanted} and the tokens left; 0 if none are left
      */
     public int grant(int wanted) {
         return (int) Math.max(0, Math.min(wanted, limit - spent - reserved));
     }
 
     /**
-     * Reserves tokens.
+     * Reserves tokens for a turn.
      *
-     * @param tokens a number that {@link #grant} gave
-     * @return the ledger after
+     * @param tokens the number of tokens returned by {@link #grant}
+     * @return the updated ledger
      */
     public BudgetLedger reserve(int tokens) {
         return new BudgetLedger(limit, spent, reserved + tokens);
     }
 
     /**
-     * Settles a reservation.
+     * Releases the reservation of a turn and charges the tokens that it used.
      *
-     * @param held what was reserved
-     * @param used what was spent of it
-     * @return the ledger after
+     * @param held the tokens reserved for the turn
+     * @param used the tokens used by the turn
+     * @return the updated ledger
      */
     public BudgetLedger settle(int held, int used) {
         return new BudgetLedger(limit, spent + used, reserved - held);
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/CallOutcome.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/CallOutcome.java
@@ -1,15 +1,15 @@
 package org.parsleydrift.program;
 
-/** How a tool call ended. */
+/** The outcome of a tool call. */
 public enum CallOutcome {
-    /** It ran and answered. */
+    /** The call ran and returned a result. */
     OK,
-    /** It ran and answered with an error, or it can't be made. */
+    /** The call ran and returned an error, or it cannot be sent. */
     FAILED,
-    /** It was not sent, or the tool says that it did not run. */
+    /** The call was not sent, or the tool reported that it did not run. */
     NOT_RUN,
-    /** It was sent at most once, and whether it ran is not known. */
+    /** The call was sent at most once; whether it ran is unknown. */
     OUTCOME_UNKNOWN,
-    /** The same call ended with an unknown outcome before: it is not sent again. */
+    /** The call was not sent because an earlier identical call ended with an unknown outcome. */
     BLOCKED
 }
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/PendingAction.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/PendingAction.java
@@ -1,12 +1,13 @@
 package org.parsleydrift.program;
 
 /**
- * An action that waits for its turn or its end.
+ * An action that is queued or in progress.
  *
- * @param id unique in the system and the same after every recovery: program, agent, turn and position
- * @param action what to do
- * @param intended true once a non-idempotent call may have been sent
- * @param child the path of the sub-agent that was started, or null
+ * @param id the globally unique id, stable across recoveries: program id, agent path, turn number and position in the
+ *     turn
+ * @param action the requested action
+ * @param intended true once the intent to send a non-idempotent call was recorded, so the call may have been sent
+ * @param child the path of the sub-agent started by this action, or null
  */
 public record PendingAction(String id, Action action, boolean intended, String child) {
     PendingAction asIntended() {
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramEnd.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramEnd.java
@@ -1,17 +1,17 @@
 package org.parsleydrift.program;
 
-/** Why a program is over. */
+/** The reason why a program ended. */
 public enum ProgramEnd {
-    /** Its root agent ended. */
+    /** The root agent ended. */
     COMPLETE,
-    /** Its caller cancelled it. */
+    /** The caller cancelled the program. */
     CANCELLED,
-    /** It used up its budget. */
+    /** The program used up its budget. */
     BUDGET_SPENT,
-    /** It ran past its elapsed time. */
+    /** The program exceeded its maximum elapsed time. */
     EXPIRED,
-    /** It repeated one call without end. */
+    /** The program made the same call too many times in a row. */
     LOOP,
-    /** An engine's reply made no sense, or its agent is not declared. */
+    /** An engine's response could not be parsed, or the manifest does not declare the agent. */
     FAILED
 }
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramId.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramId.java
@@ -7,22 +7,24 @@
 import org.parsleydrift.kernel.StepException;
 
 /**
- * The id of a program or of a plain call: the ticket (a journal) and the caller's own team and key. A retry keeps its
- * first ticket, so it always leads to the journal in which the first attempt may stand.
+ * The id of a program or of a plain call. It consists of a ticket, which names a journal, and of the caller's team and
+ * idempotency key. A retry carries the ticket of the first attempt and therefore reaches the journal that may contain
+ * that attempt.
  *
- * @param journal the node incarnation whose journal the caller's ticket names
- * @param issued when the ticket was issued, in minutes since the epoch; old tickets start nothing new
+ * @param journal the node incarnation whose journal the ticket names
+ * @param issued the time of issue of the ticket, in minutes since the epoch; expired tickets start no new program
  * @param team the caller's team
- * @param key the caller's own key
+ * @param key the caller's idempotency key
  */
 public record ProgramId(String journal, long issued, String team, String key) {
     private static final Pattern PART = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
     private static final String SEPARATOR = "~";
 
     /**
-     * Checks the parts. A part with a slash or a blank could name another object on the platform or split a log line.
+     * Validates the parts. They become parts of object names and of log lines, so slashes and white space are rejected.
      *
-     * @throws StepException if a part is not 1 to 64 letters, digits, dots, dashes and underscores
+     * @throws StepException if a part is not 1 to 64 letters, digits, dots, dashes and underscores, starting with a
+     *     letter or a digit
      */
     public ProgramId {
         check("ticket", journal);
@@ -31,11 +33,11 @@
     }
 
     /**
-     * Reads an id.
+     * Parses an id.
      *
-     * @param text what {@link #toString} gives
+     * @param text the form returned by {@link #toString}
      * @return the id
-     * @throws StepException if the text is no id
+     * @throws StepException if the text does not have this form
      */
     @JsonCreator
     public static ProgramId parse(String text) {
@@ -53,9 +55,9 @@
     }
 
     /**
-     * The ticket in it.
+     * Returns the ticket contained in this id.
      *
-     * @return journal and time of issue
+     * @return the journal and the time of issue, separated by a tilde
      */
     public String ticket() {
         return journal + SEPARATOR + issued;
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramMachine.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramMachine.java
@@ -10,8 +10,8 @@
 import org.parsleydrift.manifest.Budget;
 
 /**
- * The life of a program as a pure state machine: events change the state, and the state alone says what comes next
- * (docs/design/programs.md).
+ * The state machine of a program. It has no side effects: events change the state, and the next steps depend on the
+ * state and the current time only.
  */
 public final class ProgramMachine {
     private static final int PLAIN_CALL_SECONDS = 3600;
@@ -19,10 +19,10 @@
     private ProgramMachine() {}
 
     /**
-     * Makes the state of a program that was just accepted.
+     * Creates the initial state of an accepted program.
      *
-     * @param started its first event
-     * @return the state
+     * @param started the first event of the program
+     * @return the initial state
      */
     public static ProgramState start(ProgramEvent.Started started) {
         AgentState root = newAgent(ProgramState.ROOT, started.agent(), started.prompt());
@@ -42,10 +42,11 @@
     }
 
     /**
-     * Makes the state of a plain call that must run at most once: a program of one call and no turn.
+     * Creates the initial state of a plain call with at-most-once semantics, modelled as a program of one call without
+     * a model turn.
      *
-     * @param started its first event
-     * @return the state
+     * @param started the first event of the call
+     * @return the initial state
      */
     public static ProgramState start(ProgramEvent.CallStarted started) {
         String path = ProgramState.ROOT;
@@ -73,11 +74,12 @@
     }
 
     /**
-     * Applies an event. Events that no longer fit, such as a late answer of a call that has ended, change nothing.
+     * Applies an event. Events that do not match the state, such as a late result of a call that has ended, are
+     * ignored.
      *
-     * @param state the state before
-     * @param event what happened
-     * @return the state after
+     * @param state the current state
+     * @param event the event
+     * @return the new state, or the current state if the event was ignored
      */
     public static ProgramState apply(ProgramState state, ProgramEvent event) {
         if (state.over()) {
@@ -98,11 +100,12 @@
     }
 
     /**
-     * Says what the program needs next.
+     * Computes the next steps of a program.
      *
-     * @param state its state
-     * @param nowMillis the present time in milliseconds since the epoch
-     * @return steps in order of their agents' paths; empty if it waits or is over
+     * @param state the program's state
+     * @param nowMillis the current time in milliseconds since the epoch
+     * @return the steps in order of their agents' paths, or a single stop if a limit is reached; empty if the program
+     *     waits or has ended
      */
     public static List<ProgramStep> next(ProgramState state, long nowMillis) {
         if (state.over()) {
@@ -116,21 +119,21 @@
     }
 
     /**
-     * Finds an action that is not done.
+     * Finds a pending tool call.
      *
-     * @param state the program
-     * @param callId the action's id
-     * @return the action, if it is at the head of its agent's list
+     * @param state the program's state
+     * @param callId the id of the call
+     * @return the call, or empty if it is not the first pending action of an agent
      */
     public static Optional<PendingAction> head(ProgramState state, String callId) {
         return owner(state, callId).map(agent -> agent.pending().getFirst());
     }
 
     /**
-     * The identity of a call for repeats and blocks.
+     * Returns the identity of a call, by which repeated calls and calls of unknown outcome are recognised.
      *
      * @param call the call
-     * @return tool and arguments
+     * @return the tool and the arguments, separated by a space
      */
     public static String identity(Action.CallTool call) {
         return call.tool() + " " + call.arguments();
@@ -218,7 +221,7 @@
                 .findFirst();
     }
 
-    /** Carries out all that needs no outside system, until nothing changes. */
+    /** Executes all actions that need no external system, until the state no longer changes. */
     private static ProgramState settle(ProgramState state) {
         ProgramState settled = state;
         for (var next = settleOnce(settled); next.isPresent(); next = settleOnce(settled)) {
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramStep.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramStep.java
@@ -1,19 +1,19 @@
 package org.parsleydrift.program;
 
-/** What a program needs next; computed from its state alone, so it is the same after a recovery. */
+/** A next step of a program. Steps are derived from the program's state, so a recovery yields the same steps. */
 public sealed interface ProgramStep {
     /**
-     * Names the step, so that a step under way is not begun twice.
+     * Returns the key by which a step in progress is recognised and not started twice.
      *
-     * @return unique in the program
+     * @return the key, unique within the program
      */
     String key();
 
     /**
-     * Run a model turn.
+     * Runs a model turn.
      *
-     * @param path the agent
-     * @param turn the number of the turn
+     * @param path the agent's path
+     * @param turn the number of the turn, from 0
      */
     record RunTurn(String path, int turn) implements ProgramStep {
         @Override
@@ -23,12 +23,12 @@
     }
 
     /**
-     * Make a tool call.
+     * Makes a tool call.
      *
-     * @param callId the call
-     * @param tool the tool
-     * @param arguments its arguments
-     * @param intended true if an intent is durable or on its way there
+     * @param callId the id of the call
+     * @param tool the tool's name in the manifest
+     * @param arguments the arguments as JSON text
+     * @param intended true if the intent to send the call was appended to the journal; it need not be durable yet
      */
     record MakeCall(String callId, String tool, String arguments, boolean intended) implements ProgramStep {
         @Override
@@ -38,10 +38,10 @@
     }
 
     /**
-     * Stop the program: its budget or a limit says so.
+     * Stops the program because a limit of its budget is reached.
      *
-     * @param end why
-     * @param detail the reason
+     * @param end the reason
+     * @param detail the explanation shown to the caller
      */
     record Stop(ProgramEnd end, String detail) implements ProgramStep {
         @Override
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/Usage.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/Usage.java
@@ -1,17 +1,17 @@
 package org.parsleydrift.program;
 
 /**
- * What a program has used of its budget.
+ * The consumption of a program, which is charged against its budget.
  *
- * @param tokens tokens generated, or charged for turns whose result was lost
- * @param turns model turns that ended
- * @param calls tool calls
- * @param children sub-agents started
- * @param lastCall the last call, tool and arguments
- * @param repeats how many times in a row the last call was made
+ * @param tokens the tokens generated, or charged for turns whose result was lost
+ * @param turns the completed model turns
+ * @param calls the completed tool calls
+ * @param children the sub-agents started
+ * @param lastCall the identity of the last call: tool and arguments; empty before the first call
+ * @param repeats the number of consecutive calls with the identity {@code lastCall}
  */
 public record Usage(long tokens, int turns, int calls, int children, String lastCall, int repeats) {
-    /** Nothing used. */
+    /** The usage of a program that has just started. */
     public static final Usage NONE = new Usage(0, 0, 0, 0, "", 0);
 
     Usage turn(int spent) {
--- a/parsleydrift-program/src/test/java/org/parsleydrift/program/ProgramMachineTest.java
+++ b/parsleydrift-program/src/test/java/org/parsleydrift/program/ProgramMachineTest.java
@@ -10,7 +10,7 @@
 import org.parsleydrift.manifest.Budget;
 import org.testng.annotations.Test;
 
-/** The life of a program, event by event. */
+/** Tests the state transitions of a program and the validation of program ids. */
 public class ProgramMachineTest {
     private static final ProgramId ID = ProgramId.parse("vm1-1~10~team~key");
 
@@ -37,7 +37,7 @@
         assertEquals(keys(state), List.of("call/" + ID + "/0/0/1"));
     }
 
-    /** Symptom: a call's answer counts for another call. Events: an answer comes late or crossed. Cause: no check of whose it is. */
+    /** Guards against a late or misdirected event being applied to another call, turn or agent. */
     @Test
     public void lateAndCrossedEventsChangeNothing() {
         ProgramState state = turn(begin(budget(9, 9)), "0", 0, new Action.CallTool("x", "1"));
@@ -98,7 +98,7 @@
         assertEquals(MessagePackCodec.decode(MessagePackCodec.encode(restored), ProgramEvent.class, "test"), restored);
     }
 
-    /** Symptom: one caller reads another's program, or a log line is split. Events: a hostile key. Cause: parts taken as they come. */
+    /** Guards against ids whose parts address other stored objects or inject log lines. */
     @Test
     public void hostileIdsAreRefused() {
         List.of("a~1~t~../x", "a~1~t~", "a~1~t", "a~x~t~k", "a~1~t~k\nevent=x", "a/b~1~t~k", "a~1~t~" + "k".repeat(65))
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/FrameLinks.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/FrameLinks.java
@@ -22,26 +22,22 @@
 import org.parsleydrift.kernel.LogLine;
 
 /**
- * One-way frames between nodes over TCP: four bytes of length, then the frame. Each node opens one connection to each
- * peer it sends to. Delivery is best effort; senders notice loss by timeouts of their own.
+ * Transport of length-prefixed frames between nodes over TCP. Each node opens one connection to each peer that it sends
+ * to, and connections carry frames in one direction only. Delivery is best effort; senders detect loss by their own
+ * timeouts.
  *
- * <p>A connection may go silent for good while new ones work. The sender can't tell from what it hears, since answers come
- * on another connection; so each receiver acknowledges, and a sender that hears no acknowledgement opens a new connection
- * with its next frame.
+ * <p>Receivers acknowledge frames, so that a sender detects a stalled connection although responses arrive on another
+ * one. If an acknowledgement is overdue, the next frame is sent on a new connection.
  */
 public final class FrameLinks implements AutoCloseable {
     private static final Logger LOG = System.getLogger(FrameLinks.class.getName());
     private static final int LENGTH_BYTES = 4;
     private static final int MAX_FRAME_BYTES = 4 << 20;
     private static final int MAX_UNSENT_BYTES = 16 << 20;
-    /** Time to connect; a peer takes a round trip, one that is gone never answers. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
-    /**
-     * Acknowledgements are gathered for this long, ms. Nodes tell each other their loads every 80 to 160 ms: gathered for
-     * 50 ms each such frame cost a second one in return, gathered for 300 ms every second to fourth does.
-     */
+    /** Delay of an acknowledgement, so that one acknowledgement covers several frames. */
     private static final long ACKNOWLEDGE_MILLIS = 300;
-    /** Without an acknowledgement for this long, ms, a connection counts as silent: three times the usual. */
+    /** Time without an acknowledgement after which a connection is replaced. */
     private static final long SILENT_MILLIS = 1000;
 
     private final Channel listener;
@@ -49,12 +45,12 @@
     private final Map<String, ChannelFuture> connections = new ConcurrentHashMap<>();
 
     /**
-     * Starts listening.
+     * Starts listening for connections of peers.
      *
      * @param threads the network threads
      * @param host the address to listen on
-     * @param port the port, 0 for any
-     * @param receiver receives each frame on a network thread; one that throws closes the connection
+     * @param port the port to listen on, 0 for any free port
+     * @param receiver receives each frame on a network thread; an exception closes the connection
      */
     public FrameLinks(NetworkThreads threads, String host, int port, Consumer<byte[]> receiver) {
         listener = threads.listener()
@@ -81,19 +77,19 @@
     }
 
     /**
-     * The port it listens on.
+     * Returns the port on which frames are received.
      *
-     * @return the port
+     * @return the port, 1 to 65535
      */
     public int port() {
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
     /**
-     * Sends a frame, opening a connection if there is none.
+     * Sends a frame and opens a connection to the peer if there is none. The frame is dropped if the connection fails.
      *
-     * @param address the peer's link address
-     * @param frame its bytes
+     * @param address the peer's link address, host and port
+     * @param frame the content of the frame, at most 4 MiB
      */
     public void send(String address, byte[] frame) {
         ChannelFuture connection = connections.compute(
@@ -112,10 +108,10 @@
     }
 
     /**
-     * Closes the connection to a peer, so that the next frame opens a new one: a connection that something between the
-     * two ends has lost track of stays silent for ever, while a new one works.
+     * Closes the connection to a peer, for example one that a middlebox has dropped silently. The next frame opens a
+     * new connection.
      *
-     * @param address the peer's link address
+     * @param address the peer's link address, host and port
      */
     public void reset(String address) {
         ChannelFuture known = connections.remove(address);
@@ -154,13 +150,13 @@
         channel.writeAndFlush(Unpooled.wrappedBuffer(frame));
     }
 
-    /** What the other end of an outgoing connection has acknowledged. */
+    /** Tracks the acknowledgements received on an outgoing connection. */
     private static final class Acknowledgements extends ChannelInboundHandlerAdapter {
         private static final long NONE = Long.MIN_VALUE;
 
         private volatile long unacknowledgedSince = NONE;
 
-        /** Notes a write; gives whether an earlier one has gone without an acknowledgement for too long. */
+        /** Records a write and returns whether the acknowledgement of an earlier write is overdue. */
         private boolean missing(Channel channel) {
             long now = channel.eventLoop().ticker().nanoTime();
             long since = unacknowledgedSince;
@@ -177,7 +173,7 @@
             unacknowledgedSince = NONE;
         }
 
-        /** A peer that is killed resets what it had open; taken by nobody, each costs a stack trace of thirty lines. */
+        /** Logs resets by the peer in one line, where Netty would log a stack trace. */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             LOG.log(
@@ -190,7 +186,7 @@
         }
     }
 
-    /** Hands frames on; one connection's bad frame disturbs no other connection. */
+    /** Passes received frames on. A malformed frame closes only its own connection. */
     private static final class Receiver extends SimpleChannelInboundHandler<ByteBuf> {
         private final Consumer<byte[]> receiver;
         private boolean acknowledging;
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpAnswer.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpAnswer.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * A whole answer of the HTTP client.
+ * A complete response received by the HTTP client.
  *
- * @param status the HTTP status
- * @param headers its headers, names in lower case
- * @param body the body
+ * @param status the HTTP status code
+ * @param headers the headers, names in lower case
+ * @param body the body; empty if it was streamed
  */
 public record HttpAnswer(int status, Map<String, String> headers, byte[] body) {
     /**
-     * The body as text.
+     * Returns the body as text.
      *
-     * @return the body read as UTF-8
+     * @return the body decoded as UTF-8
      */
     public String text() {
         return new String(body, StandardCharsets.UTF_8);
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpCall.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpCall.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A request under way.
+ * A request in progress.
  *
- * @param answer the whole answer; its body is empty if the pieces went to a receiver
- * @param cancel closes the connection
+ * @param answer completes with the response, or fails with {@link HttpFailure}; the body is empty if it was streamed
+ * @param cancel cancels the request by closing its connection
  */
 public record HttpCall(CompletableFuture<HttpAnswer> answer, Runnable cancel) {}
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpClient.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpClient.java
@@ -30,9 +30,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** A small HTTP/1.1 client on Netty's codec, with kept connections and a limit on silence. */
+/** An HTTP/1.1 client based on Netty, with a connection pool and idle timeouts. */
 public final class HttpClient {
-    /** Time to connect; the platform and tools take some ms, a VM that is gone never answers. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
     private static final int MAX_ANSWER_BYTES = 4 << 20;
@@ -42,7 +41,7 @@
     private final Map<String, Deque<Channel>> kept = new ConcurrentHashMap<>();
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
      * @param threads the network threads
      */
@@ -56,21 +55,21 @@
     }
 
     /**
-     * Makes a request and collects the answer.
+     * Sends a request and collects the response body.
      *
      * @param request the request
-     * @return the answer; fails with {@link HttpFailure}
+     * @return the response, whatever its status; fails with {@link HttpFailure}
      */
     public CompletableFuture<HttpAnswer> send(HttpRequestSpec request) {
         return open(request, null).answer();
     }
 
     /**
-     * Makes a request and hands on the body of a good answer piece by piece.
+     * Sends a request and streams the response body if the status is below 300.
      *
      * @param request the request
-     * @param pieces receives the pieces on a network thread
-     * @return the call
+     * @param pieces receives the chunks of the body on a network thread
+     * @return the call in progress
      */
     public HttpCall stream(HttpRequestSpec request, Consumer<byte[]> pieces) {
         return open(request, pieces);
@@ -201,10 +200,7 @@
             watchdog.cancel(false);
         }
 
-        /**
-         * A connection can go silent for good while new ones work. TCP would report that after many minutes; the
-         * request, and with it a program, would hang for as long.
-         */
+        /** Fails the request on a stalled connection, which TCP would report only after many minutes. */
         private void checkSilence(ChannelHandlerContext context, Duration silence) {
             if (context.executor().ticker().nanoTime() - lastByteNanos > silence.toNanos()) {
                 attempt.fail(true, "silent for " + silence.toMillis() + " ms");
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpExchange.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpExchange.java
@@ -21,7 +21,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** One HTTP request and its answer. Thread-safe: answers may come from any thread. */
+/** An HTTP request received by the server, and its response. Thread-safe. */
 public final class HttpExchange {
     private static final int MAX_UNSENT_BYTES = 8 << 20;
 
@@ -43,29 +43,29 @@
     }
 
     /**
-     * The request's method.
+     * Returns the method of the request.
      *
-     * @return GET, POST and so on
+     * @return the method in upper case, such as GET
      */
     public String method() {
         return method;
     }
 
     /**
-     * The request's path.
+     * Returns the path of the request.
      *
-     * @return the decoded path, without the query
+     * @return the decoded path without the query
      */
     public String path() {
         return target.path();
     }
 
     /**
-     * A parameter of the query.
+     * Returns a query parameter.
      *
-     * @param name its name
-     * @param fallback what to give if it is absent
-     * @return its first value
+     * @param name the name of the parameter
+     * @param fallback the value to return if the parameter is absent
+     * @return the first value of the parameter, decoded
      */
     public String query(String name, String fallback) {
         Map<String, List<String>> parameters = target.parameters();
@@ -73,62 +73,62 @@
     }
 
     /**
-     * A header of the request.
+     * Returns a header of the request.
      *
-     * @param name its name
-     * @param fallback what to give if it is absent
-     * @return its value
+     * @param name the name of the header, in any case
+     * @param fallback the value to return if the header is absent
+     * @return the first value of the header
      */
     public String header(String name, String fallback) {
         return headers.get(name, fallback);
     }
 
     /**
-     * The request's body.
+     * Returns the request body as text.
      *
-     * @return the body as UTF-8 text
+     * @return the body decoded as UTF-8
      */
     public String body() {
         return new String(body, StandardCharsets.UTF_8);
     }
 
     /**
-     * The request's body as it came.
+     * Returns the request body.
      *
-     * @return the bytes
+     * @return a copy of the body, empty if there is none
      */
     public byte[] bodyBytes() {
         return body.clone();
     }
 
     /**
-     * The caller's address.
+     * Returns the remote address of the connection.
      *
-     * @return address and port
+     * @return the address and port
      */
     public String peer() {
         return String.valueOf(channel.remoteAddress());
     }
 
     /**
-     * Answers with a whole body.
+     * Sends a complete response. Ignored if the response has already ended.
      *
-     * @param status the HTTP status
-     * @param contentType the body's type
-     * @param text the body
-     * @param headers further headers
+     * @param status the HTTP status code
+     * @param contentType the content type of the body
+     * @param text the body, sent as UTF-8
+     * @param headers additional headers
      */
     public void respond(int status, String contentType, String text, Map<String, String> headers) {
         respond(status, contentType, text.getBytes(StandardCharsets.UTF_8), headers);
     }
 
     /**
-     * Answers with a whole body.
+     * Sends a complete response. Ignored if the response has already ended.
      *
-     * @param status the HTTP status
-     * @param contentType the body's type
+     * @param status the HTTP status code
+     * @param contentType the content type of the body
      * @param bytes the body
-     * @param headers further headers
+     * @param headers additional headers
      */
     public void respond(int status, String contentType, byte[] bytes, Map<String, String> headers) {
         if (!ended.compareAndSet(false, true)) {
@@ -150,19 +150,19 @@
     }
 
     /**
-     * Begins an answer that comes piece by piece.
+     * Starts a streamed response with status 200.
      *
-     * @param contentType the body's type
+     * @param contentType the content type of the body
      */
     public void beginStream(String contentType) {
         beginStream(contentType, Map.of());
     }
 
     /**
-     * Begins an answer that comes piece by piece.
+     * Starts a streamed response with status 200.
      *
-     * @param contentType the body's type
-     * @param more further headers
+     * @param contentType the content type of the body
+     * @param more additional headers
      */
     public void beginStream(String contentType, Map<String, String> more) {
         var response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
@@ -175,10 +175,10 @@
     }
 
     /**
-     * Sends a piece. A reader that is too slow loses its connection, since what it has not read would fill the node's
-     * memory; it can come back and read on from its offset.
+     * Sends a chunk of a streamed response. The connection of a slow reader is closed to bound the memory used for
+     * unsent data. Ignored if the response has ended.
      *
-     * @param text the piece
+     * @param text the chunk, sent as UTF-8
      */
     public void write(String text) {
         if (ended.get()) {
@@ -192,7 +192,7 @@
         channel.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)));
     }
 
-    /** Ends an answer that was begun with {@link #beginStream}. */
+    /** Ends a response started with {@link #beginStream}. */
     public void endStream() {
         if (ended.compareAndSet(false, true)) {
             var sent = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
@@ -202,16 +202,16 @@
         }
     }
 
-    /** Closes the connection without an end of the answer, so that the caller can tell that it is cut. */
+    /** Closes the connection before the end of the response, so that the caller detects a truncated response. */
     public void abort() {
         ended.set(true);
         channel.close();
     }
 
     /**
-     * Runs a task when the caller's connection closes.
+     * Registers a task to run when the connection is closed.
      *
-     * @param task what to run
+     * @param task the task to run
      */
     public void onClose(Runnable task) {
         channel.closeFuture().addListener(closed -> task.run());
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpFailure.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpFailure.java
@@ -3,7 +3,7 @@
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 
-/** An HTTP request that got no whole answer. */
+/** Thrown if an HTTP request ends without a complete response. */
 public final class HttpFailure extends StepException {
     private final boolean sent;
 
@@ -13,9 +13,9 @@
     }
 
     /**
-     * Whether any byte of the request can have reached the other side.
+     * Returns whether any part of the request may have reached the server.
      *
-     * @return false only if no connection was made
+     * @return false if the request was certainly not sent
      */
     public boolean sent() {
         return sent;
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpHandler.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpHandler.java
@@ -1,12 +1,12 @@
 package org.parsleydrift.wire;
 
-/** Serves HTTP requests. */
+/** Handles HTTP requests. */
 @FunctionalInterface
 public interface HttpHandler {
     /**
-     * Serves a request; called on a network thread, so it must hand the work on at once.
+     * Handles a request. Called on a network thread, so implementations must not block.
      *
-     * @param exchange the request
+     * @param exchange the request, which the handler answers now or later
      */
     void handle(HttpExchange exchange);
 }
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpRequestSpec.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpRequestSpec.java
@@ -5,25 +5,25 @@
 /**
  * A request of the HTTP client.
  *
- * @param address host and port
- * @param method GET, POST and so on
- * @param target path and query
- * @param body the body; empty for none
- * @param silence fails when no byte comes for this long
- * @param reuse whether a kept connection may serve; no for calls that must not be sent twice, since a kept connection
- *     that the other side has just closed leaves it unknown whether the call arrived
+ * @param address the host and port of the server
+ * @param method the HTTP method
+ * @param target the path and query
+ * @param body the body, empty for none
+ * @param silence the maximum time without received data, after which the request fails
+ * @param reuse whether the request may use a pooled connection; must be false for non-idempotent requests, since it is
+ *     unknown whether a request arrived if the server closes the pooled connection at the same time
  */
 public record HttpRequestSpec(
         String address, String method, String target, byte[] body, Duration silence, boolean reuse) {
     private static final byte[] NOTHING = {};
 
     /**
-     * A request without a body.
+     * Creates a request without a body that may use a pooled connection.
      *
-     * @param address host and port
-     * @param method GET, DELETE and so on
-     * @param target path and query
-     * @param silence fails when no byte comes for this long
+     * @param address the host and port of the server
+     * @param method the HTTP method
+     * @param target the path and query
+     * @param silence the maximum time without received data
      * @return the request
      */
     public static HttpRequestSpec of(String address, String method, String target, Duration silence) {
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpServer.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpServer.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.parsleydrift.kernel.LogLine;
 
-/** An HTTP/1.1 server on Netty's codec. */
+/** An HTTP/1.1 server based on Netty. It limits the number of connections and closes idle ones. */
 public final class HttpServer implements AutoCloseable {
     private static final Logger LOG = System.getLogger(HttpServer.class.getName());
     private static final int MAX_BODY_BYTES = 1 << 20;
@@ -27,13 +27,13 @@
     private final Channel listener;
 
     /**
-     * Starts listening.
+     * Starts a server.
      *
      * @param threads the network threads
      * @param host the address to listen on
-     * @param port the port, 0 for any
-     * @param maxConnections connections past this number are refused
-     * @param handler serves the requests
+     * @param port the port to listen on, 0 for any free port
+     * @param maxConnections the maximum number of connections; requests on further ones are rejected with status 503
+     * @param handler handles the requests
      */
     public HttpServer(NetworkThreads threads, String host, int port, int maxConnections, HttpHandler handler) {
         this.handler = handler;
@@ -46,18 +46,18 @@
     }
 
     /**
-     * The port it listens on.
+     * Returns the port on which the server listens.
      *
-     * @return the port
+     * @return the port, 1 to 65535
      */
     public int port() {
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
     /**
-     * Open connections.
+     * Returns the number of open connections.
      *
-     * @return their number
+     * @return the number, including connections above the limit
      */
     public int connections() {
         return connections.get();
@@ -87,7 +87,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             if (current != null && !current.finished()) {
-                // A second request on a connection whose first is not answered: answers could be taken for each other.
+                // Pipelining is not supported, since responses could be matched to the wrong request.
                 context.close();
                 return;
             }
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/LineSplitter.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/LineSplitter.java
@@ -4,29 +4,29 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
-/** Makes lines of the pieces in which a streamed body arrives. Not thread-safe. */
+/** Splits a streamed body into lines. Not thread-safe. */
 public final class LineSplitter {
     private final Consumer<String> lines;
     private final ByteArrayOutputStream begun = new ByteArrayOutputStream();
 
     /**
-     * Makes a splitter.
+     * Creates a splitter.
      *
-     * @param lines receives each whole line, without its end
+     * @param lines receives each complete line without its line feed
      */
     public LineSplitter(Consumer<String> lines) {
         this.lines = lines;
     }
 
-    /** Drops a line that was begun: its connection broke, and the next one begins anew. */
+    /** Discards an incomplete line, for use after a lost connection. */
     public void reset() {
         begun.reset();
     }
 
     /**
-     * Takes a piece.
+     * Appends a chunk and passes on the lines that it completes.
      *
-     * @param bytes UTF-8 text, cut anywhere
+     * @param bytes UTF-8 text, which may begin and end within a character
      */
     public void take(byte[] bytes) {
         for (byte each : bytes) {
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/NetworkLoop.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/NetworkLoop.java
@@ -9,8 +9,8 @@
 import org.parsleydrift.kernel.RuntimeClock;
 
 /**
- * An event loop on a network thread. Decisions run where the bytes arrive: on a VM with less than one core a hand-over
- * to a second thread costs two wake-ups for each message and gains nothing.
+ * An event loop on a network thread. Running tasks on the thread that received the data avoids a context switch per
+ * message.
  */
 public final class NetworkLoop implements EventLoop {
     private static final Logger LOG = System.getLogger(NetworkLoop.class.getName());
@@ -19,10 +19,10 @@
     private final RuntimeClock clock;
 
     /**
-     * Takes one of the threads.
+     * Creates an event loop on the next thread of a group.
      *
-     * @param threads the network threads; just one for all that shares state with this loop
-     * @param clock the clock
+     * @param threads the network threads; connections that share state with this loop must run on the same thread
+     * @param clock the clock of the loop
      */
     public NetworkLoop(NetworkThreads threads, RuntimeClock clock) {
         this.loop = threads.group().next();
@@ -53,7 +53,7 @@
         try {
             task.run();
         } catch (RuntimeException | AssertionError fault) {
-            // One faulty task must not end the loop and with it every request of the node; the line is the alarm.
+            // A failing task must not affect the other requests of the node.
             LOG.log(Logger.Level.ERROR, LogLine.of("loop_task_failed").toString(), fault);
         }
     }
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/NetworkThreads.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/NetworkThreads.java
@@ -14,39 +14,39 @@
 import java.time.Duration;
 import java.util.concurrent.TimeUnit;
 
-/** The network threads that all connections of one process share. */
+/** The network threads shared by all connections of a process. */
 public final class NetworkThreads implements AutoCloseable {
-    /** Connections that may wait to be accepted; a full queue costs the other side seconds. */
+    /** Maximum number of connections waiting to be accepted. */
     private static final int BACKLOG = 1024;
 
     private final EventLoopGroup group;
 
     static {
-        // Netty would look for three log libraries that are not there, at each start of a process.
+        // Avoids the startup cost of Netty's search for other log libraries.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     }
 
     /**
-     * Starts threads.
+     * Creates a group of daemon threads.
      *
-     * @param name the start of their names
-     * @param count how many
+     * @param name the prefix of the thread names
+     * @param count the number of threads
      */
     public NetworkThreads(String name, int count) {
         group = new MultiThreadIoEventLoopGroup(count, new DefaultThreadFactory(name, true), NioIoHandler.newFactory());
     }
 
     /**
-     * The event loops.
+     * Returns the Netty event loops of these threads.
      *
-     * @return the group
+     * @return the event loop group
      */
     public EventLoopGroup group() {
         return group;
     }
 
     /**
-     * What all listeners share; a caller adds how a connection is set up, and binds.
+     * Creates a bootstrap for listening sockets. The caller adds the child handler and binds it.
      *
      * @return a new bootstrap on these threads
      */
@@ -60,9 +60,9 @@
     }
 
     /**
-     * What all outgoing connections share; a caller adds how a connection is set up, and connects.
+     * Creates a bootstrap for outgoing connections. The caller adds the handler and connects it.
      *
-     * @param timeout how long the other side may take to accept
+     * @param timeout the connect timeout
      * @return a new bootstrap on these threads
      */
     public Bootstrap connector(Duration timeout) {
--- a/parsleydrift-wire/src/test/java/org/parsleydrift/wire/BadInputTest.java
+++ b/parsleydrift-wire/src/test/java/org/parsleydrift/wire/BadInputTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Malformed requests and frames, and connections that fall silent, over real sockets on loopback. */
+/** Tests malformed requests and frames and stalled connections on loopback sockets. */
 public class BadInputTest {
     private NetworkThreads threads;
     private HttpServer server;
@@ -44,7 +44,7 @@
         threads.close();
     }
 
-    /** Symptom: one bad caller stops the server. Events: bytes that are no HTTP, a body over the limit. Cause: unguarded parsing. */
+    /** Guards against a malformed or oversized request that stops the server. */
     @Test
     public void malformedAndOversizeRequestsDisturbNobody() throws IOException {
         assertTrue(raw("nonsense\r\n\r\n").startsWith("HTTP/1.1 400"));
@@ -54,7 +54,7 @@
         assertEquals(answer.text(), "good");
     }
 
-    /** Symptom: a request hangs for minutes. Events: the other side takes it and never answers. Cause: trust in TCP to tell. */
+    /** Guards against a request that hangs on a server that never responds. */
     @Test
     public void silentConnectionFailsAndNewOnesWork() {
         HttpRequestSpec silent = HttpRequestSpec.of(address, "GET", "/silent", Duration.ofMillis(200));
@@ -68,7 +68,7 @@
                 200);
     }
 
-    /** Symptom: "not run" of a call that ran. Events: no connection can be made. Cause: sent and not sent look the same. */
+    /** Guards against a failed connection attempt being reported as a request that may have run. */
     @Test
     public void refusedConnectionIsKnownAsNotSent() {
         HttpRequestSpec nobody = HttpRequestSpec.of("127.0.0.1:1", "GET", "/", Duration.ofSeconds(2));
@@ -77,7 +77,7 @@
         assertFalse(((HttpFailure) failure.getCause()).sent());
     }
 
-    /** Symptom: a peer's bad frame takes a node down. Events: bytes that are no MessagePack, a frame over the limit. Cause: unguarded decoding. */
+    /** Guards against a malformed or oversized frame that affects other connections. */
     @Test
     public void badFramesCloseTheirOwnConnectionOnly() throws Exception {
         LinkedBlockingQueue<String> received = new LinkedBlockingQueue<>();
--- a/parsleydrift-wire/src/test/java/org/parsleydrift/wire/FrameLinksTest.java
+++ b/parsleydrift-wire/src/test/java/org/parsleydrift/wire/FrameLinksTest.java
@@ -21,12 +21,12 @@
 import java.util.logging.Logger;
 import org.testng.annotations.Test;
 
-/** Links between processes whose connections go silent. */
+/** Tests frame connections that stall or are reset by the peer. */
 public class FrameLinksTest {
     private static final int PATIENCE_SECONDS = 20;
     private static final int PAUSE_MILLIS = 100;
 
-    /** Passes bytes on in both ways; what it has connected so far can be silenced, later connections work. */
+    /** A TCP proxy that can stall all connections accepted so far. Later connections work. */
     private static final class SilencingProxy implements AutoCloseable {
         private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         private final int target;
@@ -71,7 +71,7 @@
                     }
                 }
             } catch (IOException closed) {
-                // One end has closed; the other one must not notice if it was silenced.
+                // The other socket stays open, so that a stalled connection shows no sign of the closed one.
                 return;
             }
         }
@@ -89,8 +89,7 @@
     }
 
     /**
-     * Symptom: a peer is never heard again though both processes live. Events: the connection that carries one way goes
-     * silent without a reset; the other way works. Cause: the sender has no sign that its frames do not arrive.
+     * Guards against a peer that stays unreachable because the connection in one direction has stalled without a reset.
      */
     @Test
     public void aSilentConnectionIsReplaced() throws Exception {
@@ -115,9 +114,7 @@
     }
 
     /**
-     * Symptom: nodes whose peers are killed print a stack trace of thirty lines for each connection, and are late with all
-     * else meanwhile. Events: a peer resets the connection that this node sends on. Cause: nobody takes the failure, so the
-     * network library warns of it.
+     * Guards against an unhandled connection reset, for which Netty logs a warning with a stack trace.
      */
     @Test
     public void aResetByThePeerLeavesNoStackTrace() throws Exception {
@@ -142,11 +139,11 @@
             String address = "127.0.0.1:" + peer.getLocalPort();
             sender.send(address, "first".getBytes(UTF_8));
             try (Socket connection = peer.accept()) {
-                // Reset before the first frame is here, it would only be a connection that was not made.
+                // A reset before the first frame has arrived would only be a failed connection attempt.
                 connection.getInputStream().readNBytes(Integer.BYTES + "first".length());
                 connection.setSoLinger(true, 0);
             }
-            // At rest the node reads the reset; while it sends, the write would fail before that.
+            // The sender must be idle to read the reset; otherwise a write fails first.
             peer.setSoTimeout(PAUSE_MILLIS);
             Socket next = acceptOrNull(peer);
             for (int tries = 0; next == null && tries < PATIENCE_SECONDS * 10; tries++) {
