--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalOptions.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalOptions.java
@@ -20,7 +20,7 @@
      */
     public JournalOptions {
         if (segmentBytes < 1 || segmentBytes > MAX_OBJECT_BYTES) {
-            throw new IllegalArgumentException("segmentBytes " + segmentBytes);
+            throw new IllegalArgumentException("segmentBytes out of range 1 to 1000000: " + segmentBytes);
         }
     }
 
--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalReader.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalReader.java
@@ -142,7 +142,7 @@
         return bounded(store.read(key), key)
                 .thenApplyAsync(
                         found -> found.map(object -> Segment.decode(object.value(), key))
-                                .orElseThrow(() -> new StepException(Step.TAKEOVER, key, "segment is gone")),
+                                .orElseThrow(() -> new StepException(Step.TAKEOVER, key, "journal segment not found")),
                         loop);
     }
 
--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalWriter.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalWriter.java
@@ -77,7 +77,11 @@
      */
     public JournalEntry append(byte[] record) {
         if (record.length > options.segmentBytes()) {
-            throw new StepException(Step.COMMIT, "self", "record of " + record.length + " bytes");
+            throw new StepException(
+                    Step.COMMIT,
+                    "self",
+                    "journal record of " + record.length + " bytes exceeds the limit of " + options.segmentBytes()
+                            + " bytes");
         }
         JournalEntry entry = new JournalEntry(record);
         if (fenced != null) {
--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/Segment.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/Segment.java
@@ -35,7 +35,10 @@
     static Segment decode(byte[] bytes, String key) {
         long size = Zstd.getFrameContentSize(bytes);
         if (size < 0 || size > MAX_RAW_BYTES) {
-            throw new StepException(Step.TAKEOVER, key, "segment is damaged");
+            throw new StepException(
+                    Step.TAKEOVER,
+                    key,
+                    "corrupt journal segment: uncompressed size " + size + ", expected 0 to " + MAX_RAW_BYTES);
         }
         return MessagePackCodec.decode(Zstd.decompress(bytes, (int) size), Segment.class, key);
     }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/JsonDocument.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/JsonDocument.java
@@ -123,7 +123,7 @@
     private static String resource(Class<?> owner, String file) {
         try (InputStream stream = owner.getResourceAsStream(file)) {
             if (stream == null) {
-                throw new IllegalStateException("no resource " + file);
+                throw new IllegalStateException("schema resource not found: " + file);
             }
             return new String(stream.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException fault) {
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/MessagePackCodec.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/MessagePackCodec.java
@@ -25,7 +25,7 @@
         try {
             return MAPPER.writeValueAsBytes(value);
         } catch (IOException fault) {
-            throw new StepException(Step.PARSE, "self", "cannot encode: " + fault.getMessage());
+            throw new StepException(Step.PARSE, "self", "cannot encode value as MessagePack: " + fault.getMessage());
         }
     }
 
@@ -43,11 +43,11 @@
         try {
             T value = MAPPER.readValue(bytes, type);
             if (value == null) {
-                throw new StepException(Step.PARSE, peer, "empty MessagePack value");
+                throw new StepException(Step.PARSE, peer, "MessagePack value is null");
             }
             return value;
         } catch (IOException fault) {
-            throw new StepException(Step.PARSE, peer, "bad MessagePack: " + fault.getMessage());
+            throw new StepException(Step.PARSE, peer, "malformed MessagePack value: " + fault.getMessage());
         }
     }
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/MessagePackFrames.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/MessagePackFrames.java
@@ -51,7 +51,7 @@
             writer.write(out);
             return out.toByteArray();
         } catch (IOException fault) {
-            throw new StepException(Step.PARSE, "self", "cannot encode: " + fault.getMessage());
+            throw new StepException(Step.PARSE, "self", "cannot encode frame as MessagePack: " + fault.getMessage());
         }
     }
 
@@ -68,7 +68,7 @@
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
             return reader.read(in);
         } catch (IOException | RuntimeException fault) {
-            throw new StepException(Step.PARSE, "peer", "bad frame: " + fault.getMessage());
+            throw new StepException(Step.PARSE, "peer", "malformed MessagePack frame: " + fault.getMessage());
         }
     }
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/platform/StoreException.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/platform/StoreException.java
@@ -14,7 +14,7 @@
      * @param key the key, or the key prefix, of the request
      */
     public StoreException(StoreFailure failure, String key) {
-        super(Step.PLATFORM, "platform", failure + " on " + key);
+        super(Step.PLATFORM, "platform", failure + " for object " + key);
         this.failure = failure;
     }
 
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/PluginContext.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/PluginContext.java
@@ -21,7 +21,7 @@
     public <T> T require(Class<T> type) {
         Object found = shared.get(type);
         if (found == null) {
-            throw new IllegalStateException("no shared " + type.getName());
+            throw new IllegalStateException("no shared object of type " + type.getName());
         }
         return type.cast(found);
     }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/PluginRegistry.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/PluginRegistry.java
@@ -25,7 +25,7 @@
                 .orElseThrow(() -> new StepException(
                         Step.CONFIGURE,
                         "self",
-                        "no plug-in " + name + "; there are "
+                        "no plug-in named " + name + "; available: "
                                 + all.stream()
                                         .map(provider -> provider.get().name())
                                         .collect(Collectors.joining(", "))));
--- a/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/ManifestParser.java
+++ b/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/ManifestParser.java
@@ -39,7 +39,7 @@
                 .filter(agent -> !manifest.models().containsKey(agent.getValue().model()))
                 .map(agent -> document.fault(
                         "/agents/" + agent.getKey() + "/model",
-                        "no such model: " + agent.getValue().model()));
+                        "unknown model: " + agent.getValue().model()));
     }
 
     private static Stream<JsonFault> twiceUsedNames(JsonDocument document, Manifest manifest) {
@@ -47,7 +47,7 @@
         List<JsonFault> faults = new ArrayList<>();
         manifest.tools().keySet().stream()
                 .filter(services::containsKey)
-                .map(tool -> document.fault("/tools/" + tool, "a service has the same name"))
+                .map(tool -> document.fault("/tools/" + tool, "duplicate name: a service has the same name"))
                 .forEach(faults::add);
         return faults.stream();
     }
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/BudgetLedger.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/BudgetLedger.java
@@ -16,7 +16,7 @@
      */
     public BudgetLedger {
         if (spent < 0 || reserved < 0) {
-            throw new IllegalStateException("spent " + spent + " reserved " + reserved);
+            throw new IllegalStateException("negative token count: spent " + spent + ", reserved " + reserved);
         }
     }
 
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramId.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramId.java
@@ -43,7 +43,7 @@
     public static ProgramId parse(String text) {
         String[] parts = text.split(SEPARATOR, -1);
         if (parts.length != 4) {
-            throw new StepException(Step.PARSE, "caller", "not a program id");
+            throw new StepException(Step.PARSE, "caller", "malformed program id, expected JOURNAL~MINUTES~TEAM~KEY");
         }
         return new ProgramId(parts[0], minutes(parts[1]), parts[2], parts[3]);
     }
@@ -67,7 +67,8 @@
         try {
             return Long.parseLong(text);
         } catch (NumberFormatException fault) {
-            throw new StepException(Step.PARSE, "caller", "the ticket has no time of issue");
+            throw new StepException(
+                    Step.PARSE, "caller", "malformed ticket, the time of issue is not a number of minutes");
         }
     }
 
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpClient.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpClient.java
@@ -127,11 +127,11 @@
                     if (done.isSuccess()) {
                         start(done.channel());
                     } else {
-                        fail(false, "no connection: " + done.cause().getMessage());
+                        fail(false, "connection failed: " + done.cause().getMessage());
                     }
                 });
             } catch (RuntimeException fault) {
-                fail(false, "no connection: " + fault.getMessage());
+                fail(false, "connection failed: " + fault.getMessage());
             }
         }
 
@@ -139,13 +139,13 @@
             channel = open;
             if (cancelled) {
                 open.close();
-                fail(false, "cancelled");
+                fail(false, "request cancelled before it was sent");
                 return;
             }
             open.eventLoop().execute(() -> {
                 open.pipeline().addLast(new AnswerHandler(this));
                 if (!open.isActive()) {
-                    fail(false, "connection closed before use");
+                    fail(false, "connection closed before the request was sent");
                     return;
                 }
                 var message = new DefaultFullHttpRequest(
@@ -203,7 +203,7 @@
         /** Fails the request on a stalled connection, which TCP would report only after many minutes. */
         private void checkSilence(ChannelHandlerContext context, Duration silence) {
             if (context.executor().ticker().nanoTime() - lastByteNanos > silence.toNanos()) {
-                attempt.fail(true, "silent for " + silence.toMillis() + " ms");
+                attempt.fail(true, "no data received for " + silence.toMillis() + " ms");
                 context.close();
             }
         }
@@ -236,7 +236,7 @@
             }
             body.writeBytes(bytes);
             if (body.size() > MAX_ANSWER_BYTES) {
-                attempt.fail(true, "answer larger than " + MAX_ANSWER_BYTES + " bytes");
+                attempt.fail(true, "response body larger than " + MAX_ANSWER_BYTES + " bytes");
                 context.close();
             }
         }
@@ -253,7 +253,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            attempt.fail(true, "connection closed");
+            attempt.fail(true, "connection closed before the end of the response");
         }
 
         @Override
