--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalWriter.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalWriter.java
@@ -98,7 +98,7 @@
      *
      * @param interval the new interval
      */
-    public void commitInterval(Duration interval) {
+    public void setCommitInterval(Duration interval) {
         commitInterval = interval;
     }
 
@@ -107,7 +107,7 @@
      *
      * @param newBase the sequence number of the lowest segment still needed
      */
-    public void base(long newBase) {
+    public void advanceBase(long newBase) {
         base = Math.max(base, newBase);
     }
 
@@ -125,7 +125,7 @@
      *
      * @return the sequence number, 0 before the first durable segment
      */
-    public long sequence() {
+    public long durableSequence() {
         return sequence;
     }
 
@@ -134,7 +134,7 @@
      *
      * @return the time since the start of the write, zero if no write is in progress
      */
-    public Duration stalledFor() {
+    public Duration inFlightWriteAge() {
         return writing ? Duration.ofNanos(loop.clock().nanos() - writeStartedNanos) : Duration.ZERO;
     }
 
@@ -144,7 +144,7 @@
      *
      * @return the time since the start of the last write that became durable, or since creation of this writer
      */
-    public Duration sinceDurable() {
+    public Duration timeSinceDurableWrite() {
         return Duration.ofNanos(loop.clock().nanos() - lastDurableNanos);
     }
 
@@ -153,7 +153,7 @@
      *
      * @return true if no write is in progress and none is needed
      */
-    public boolean idle() {
+    public boolean isIdle() {
         return !writing && waiting.isEmpty();
     }
 
@@ -162,7 +162,7 @@
      *
      * @return true if this incarnation can no longer write
      */
-    public boolean fenced() {
+    public boolean isFenced() {
         return fenced != null;
     }
 
@@ -242,7 +242,7 @@
 
     private void judge(Segment mine, StoredObject found) {
         Segment there = Segment.decode(found.value(), found.key());
-        if (there.sealed()) {
+        if (there.hasSeal()) {
             fence(there.seal());
         } else {
             // Other nodes create only seals in this journal and the owner has one write in flight, so this is the
@@ -285,6 +285,6 @@
     }
 
     private <T> CompletableFuture<T> bounded(CompletableFuture<T> answer, String key) {
-        return Deadline.bound(loop, answer, options.answerTimeout(), key);
+        return Deadline.withTimeout(loop, answer, options.answerTimeout(), key);
     }
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/EventLoop.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/EventLoop.java
@@ -22,7 +22,7 @@
      * @param task the task to run
      * @return a handle that cancels the task if it has not run yet
      */
-    LoopTimer schedule(Duration delay, Runnable task);
+    Cancellable schedule(Duration delay, Runnable task);
 
     /**
      * Runs a task periodically. Each run starts one period after the end of the previous one; a run that throws an
@@ -31,10 +31,10 @@
      * @param period the time between the end of a run and the start of the next one
      * @param task the task to run
      */
-    default void every(Duration period, Runnable task) {
+    default void scheduleWithFixedDelay(Duration period, Runnable task) {
         schedule(period, () -> {
             task.run();
-            every(period, task);
+            scheduleWithFixedDelay(period, task);
         });
     }
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/ManualEventLoop.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/ManualEventLoop.java
@@ -25,17 +25,17 @@
     }
 
     @Override
-    public LoopTimer schedule(Duration delay, Runnable task) {
+    public Cancellable schedule(Duration delay, Runnable task) {
         return scheduler.at(scheduler.nanos() + delay.toNanos(), () -> dispatch(task));
     }
 
-    /** Defers all tasks and timers until {@link #thaw}. The clock continues to run, as for a paused VM. */
-    public void freeze() {
+    /** Defers all tasks and timers until {@link #resume}. The clock continues to run, as for a paused VM. */
+    public void pause() {
         frozen = true;
     }
 
-    /** Resumes the loop after {@link #freeze} and runs the deferred tasks in order. */
-    public void thaw() {
+    /** Resumes the loop after {@link #pause} and runs the deferred tasks in order. */
+    public void resume() {
         frozen = false;
         while (!held.isEmpty()) {
             execute(held.poll());
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/JsonDocument.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/JsonDocument.java
@@ -50,7 +50,7 @@
      * @param name the name of the text reported in errors, for example a file name
      * @param text the JSON text; Java comments are allowed, duplicate keys are not
      * @return the document
-     * @throws JsonFaultsException if the text is not well-formed
+     * @throws InvalidJsonException if the text is not well-formed
      */
     public static JsonDocument parse(Step step, String name, String text) {
         try {
@@ -60,8 +60,8 @@
             JsonLocation at = fault.getLocation();
             int line = at == null ? 1 : at.getLineNr();
             int column = at == null ? 1 : at.getColumnNr();
-            throw new JsonFaultsException(
-                    step, name, List.of(new JsonFault(line, column, "", fault.getOriginalMessage())));
+            throw new InvalidJsonException(
+                    step, name, List.of(new JsonError(line, column, "", fault.getOriginalMessage())));
         } catch (IOException fault) {
             throw new UncheckedIOException(fault);
         }
@@ -75,23 +75,23 @@
      * @param type the target type
      * @param <T> the target type
      * @return the converted value
-     * @throws JsonFaultsException if the document does not match the schema or the target type, with every error found
+     * @throws InvalidJsonException if the document does not match the schema or the target type, with every error found
      * @throws IllegalStateException if there is no such schema resource
      */
     public <T> T read(Class<?> owner, String schemaFile, Class<T> type) {
         Schema schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
                 .getSchema(resource(owner, schemaFile));
-        List<JsonFault> faults = schema.validate(root).stream()
-                .map(error -> fault(error.getInstanceLocation().toString(), error.getMessage()))
-                .sorted(java.util.Comparator.comparingInt(JsonFault::line).thenComparingInt(JsonFault::column))
+        List<JsonError> faults = schema.validate(root).stream()
+                .map(error -> errorAt(error.getInstanceLocation().toString(), error.getMessage()))
+                .sorted(java.util.Comparator.comparingInt(JsonError::line).thenComparingInt(JsonError::column))
                 .toList();
         if (!faults.isEmpty()) {
-            throw new JsonFaultsException(step, name, faults);
+            throw new InvalidJsonException(step, name, faults);
         }
         try {
             return MAPPER.treeToValue(root, type);
         } catch (JsonProcessingException fault) {
-            throw new JsonFaultsException(step, name, List.of(fault("", fault.getOriginalMessage())));
+            throw new InvalidJsonException(step, name, List.of(errorAt("", fault.getOriginalMessage())));
         }
     }
 
@@ -102,11 +102,11 @@
      * @param message the description of the error
      * @return the error with the line and column of the value, or 1 and 1 if there is no such value
      */
-    public JsonFault fault(String pointer, String message) {
+    public JsonError errorAt(String pointer, String message) {
         JsonLocation at = locations.get(pointer);
         return at == null
-                ? new JsonFault(1, 1, pointer, message)
-                : new JsonFault(at.getLineNr(), at.getColumnNr(), pointer, message);
+                ? new JsonError(1, 1, pointer, message)
+                : new JsonError(at.getLineNr(), at.getColumnNr(), pointer, message);
     }
 
     private static Map<String, JsonLocation> locate(String text) throws IOException {
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/platform/ObjectStore.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/platform/ObjectStore.java
@@ -67,5 +67,5 @@
      *
      * @return the entries
      */
-    CompletableFuture<List<VmEntry>> vms();
+    CompletableFuture<List<VmEntry>> listVms();
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/OutsidePlugin.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/ExternalSystemPlugin.java
@@ -8,7 +8,7 @@
  * Creates clients for the protocols of the external systems: object store, model engines, tools and services.
  * Implementations are found by {@link java.util.ServiceLoader} and selected by name in the settings.
  */
-public interface OutsidePlugin {
+public interface ExternalSystemPlugin {
     /**
      * Returns the name by which settings select this plug-in.
      *
@@ -22,7 +22,7 @@
      * @param context the resources of the process
      * @return the client
      */
-    ObjectStore platform(PluginContext context);
+    ObjectStore newObjectStore(PluginContext context);
 
     /**
      * Creates a client of model engines.
@@ -30,7 +30,7 @@
      * @param context the resources of the process
      * @return the client
      */
-    EngineClient engines(PluginContext context);
+    EngineClient newEngineClient(PluginContext context);
 
     /**
      * Creates a client of tools and plain services.
@@ -38,5 +38,5 @@
      * @param context the resources of the process
      * @return the client
      */
-    CallClient calls(PluginContext context);
+    CallClient newCallClient(PluginContext context);
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/PluginContext.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/PluginContext.java
@@ -6,10 +6,11 @@
  * The resources with which a plug-in creates its clients.
  *
  * @param loop the node's event loop
- * @param platform the address of the platform
- * @param shared the objects shared by all plug-ins of the process, by type
+ * @param platformAddress the address of the platform
+ * @param sharedObjects the objects shared by all plug-ins of the process, by type
  */
-public record PluginContext(org.parsleydrift.kernel.EventLoop loop, String platform, Map<Class<?>, Object> shared) {
+public record PluginContext(
+        org.parsleydrift.kernel.EventLoop loop, String platformAddress, Map<Class<?>, Object> sharedObjects) {
     /**
      * Returns a shared object.
      *
@@ -19,7 +20,7 @@
      * @throws IllegalStateException if no object of this type is registered
      */
     public <T> T require(Class<T> type) {
-        Object found = shared.get(type);
+        Object found = sharedObjects.get(type);
         if (found == null) {
             throw new IllegalStateException("no shared object of type " + type.getName());
         }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/CallException.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/CallException.java
@@ -37,7 +37,7 @@
      *
      * @return true if the upstream accepts no further calls
      */
-    public boolean leaving() {
+    public boolean isLeaving() {
         return leaving;
     }
 
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/EngineClient.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/EngineClient.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
-import org.parsleydrift.kernel.LoopTimer;
+import org.parsleydrift.kernel.Cancellable;
 
 /** A client of model engines. Futures may complete and tokens may arrive on any thread. */
 public interface EngineClient {
@@ -16,7 +16,8 @@
      * @param done completed exactly once, with the result or exceptionally
      * @return a handle whose cancellation ends the stream on the engine
      */
-    LoopTimer turn(String runner, TurnRequest request, Consumer<String> tokens, CompletableFuture<TurnResult> done);
+    Cancellable runTurn(
+            String runner, TurnRequest request, Consumer<String> tokens, CompletableFuture<TurnResult> done);
 
     /**
      * Frees all memory that an engine holds for an owner. Idempotent.
@@ -33,5 +34,5 @@
      * @param runner the address of the engine
      * @return the entries, empty if the engine holds no memory
      */
-    CompletableFuture<List<EngineMemory>> memory(String runner);
+    CompletableFuture<List<EngineMemory>> listMemory(String runner);
 }
--- a/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/ManifestParser.java
+++ b/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/ManifestParser.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.stream.Stream;
 import org.parsleydrift.kernel.Step;
+import org.parsleydrift.kernel.codec.InvalidJsonException;
 import org.parsleydrift.kernel.codec.JsonDocument;
-import org.parsleydrift.kernel.codec.JsonFault;
-import org.parsleydrift.kernel.codec.JsonFaultsException;
+import org.parsleydrift.kernel.codec.JsonError;
 
 /** Parses and validates manifests. */
 public final class ManifestParser {
@@ -21,33 +21,33 @@
      * @param name the name of the text reported in errors, for example a file name
      * @param text the manifest as JSON with comments
      * @return the manifest
-     * @throws JsonFaultsException if the manifest is invalid, with the line and column of every error found
+     * @throws InvalidJsonException if the manifest is invalid, with the line and column of every error found
      */
     public static Manifest parse(String name, String text) {
         JsonDocument document = JsonDocument.parse(Step.MANIFEST, name, text);
         Manifest manifest = document.read(ManifestParser.class, SCHEMA, Manifest.class);
-        List<JsonFault> faults = Stream.concat(unknownModels(document, manifest), twiceUsedNames(document, manifest))
+        List<JsonError> faults = Stream.concat(unknownModels(document, manifest), twiceUsedNames(document, manifest))
                 .toList();
         if (!faults.isEmpty()) {
-            throw new JsonFaultsException(Step.MANIFEST, name, faults);
+            throw new InvalidJsonException(Step.MANIFEST, name, faults);
         }
         return manifest;
     }
 
-    private static Stream<JsonFault> unknownModels(JsonDocument document, Manifest manifest) {
+    private static Stream<JsonError> unknownModels(JsonDocument document, Manifest manifest) {
         return manifest.agents().entrySet().stream()
                 .filter(agent -> !manifest.models().containsKey(agent.getValue().model()))
-                .map(agent -> document.fault(
+                .map(agent -> document.errorAt(
                         "/agents/" + agent.getKey() + "/model",
                         "unknown model: " + agent.getValue().model()));
     }
 
-    private static Stream<JsonFault> twiceUsedNames(JsonDocument document, Manifest manifest) {
+    private static Stream<JsonError> twiceUsedNames(JsonDocument document, Manifest manifest) {
         Map<String, OperationSpec> services = manifest.services();
-        List<JsonFault> faults = new ArrayList<>();
+        List<JsonError> faults = new ArrayList<>();
         manifest.tools().keySet().stream()
                 .filter(services::containsKey)
-                .map(tool -> document.fault("/tools/" + tool, "duplicate name: a service has the same name"))
+                .map(tool -> document.errorAt("/tools/" + tool, "duplicate name: a service has the same name"))
                 .forEach(faults::add);
         return faults.stream();
     }
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramId.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramId.java
@@ -12,11 +12,11 @@
  * that attempt.
  *
  * @param journal the node incarnation whose journal the ticket names
- * @param issued the time of issue of the ticket, in minutes since the epoch; expired tickets start no new program
+ * @param issuedMinutes the time of issue of the ticket, in minutes since the epoch; expired tickets start no new program
  * @param team the caller's team
  * @param key the caller's idempotency key
  */
-public record ProgramId(String journal, long issued, String team, String key) {
+public record ProgramId(String journal, long issuedMinutes, String team, String key) {
     private static final Pattern PART = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
     private static final String SEPARATOR = "~";
 
@@ -60,7 +60,7 @@
      * @return the journal and the time of issue, separated by a tilde
      */
     public String ticket() {
-        return journal + SEPARATOR + issued;
+        return journal + SEPARATOR + issuedMinutes;
     }
 
     private static long minutes(String text) {
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramState.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramState.java
@@ -55,7 +55,7 @@
      *
      * @return true once {@link #end} is set
      */
-    public boolean over() {
+    public boolean hasEnded() {
         return end != null;
     }
 
@@ -97,7 +97,7 @@
      *
      * @return a copy without sub-agents, inputs and texts of messages
      */
-    public ProgramState condensed() {
+    public ProgramState compacted() {
         List<HistoryEntry> kept = root().history().stream()
                 .filter(entry -> entry.kind() == HistoryEntry.Kind.MODEL
                         || (root().turns() == 0 && entry.kind() == HistoryEntry.Kind.TOOL))
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramMachine.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramStateMachine.java
@@ -13,10 +13,10 @@
  * The state machine of a program. It has no side effects: events change the state, and the next steps depend on the
  * state and the current time only.
  */
-public final class ProgramMachine {
+public final class ProgramStateMachine {
     private static final int PLAIN_CALL_SECONDS = 3600;
 
-    private ProgramMachine() {}
+    private ProgramStateMachine() {}
 
     /**
      * Creates the initial state of an accepted program.
@@ -82,7 +82,7 @@
      * @return the new state, or the current state if the event was ignored
      */
     public static ProgramState apply(ProgramState state, ProgramEvent event) {
-        if (state.over()) {
+        if (state.hasEnded()) {
             return state;
         }
         ProgramState changed = switch (event) {
@@ -107,14 +107,14 @@
      * @return the steps in order of their agents' paths, or a single stop if a limit is reached; empty if the program
      *     waits or has ended
      */
-    public static List<ProgramStep> next(ProgramState state, long nowMillis) {
-        if (state.over()) {
+    public static List<ProgramStep> nextSteps(ProgramState state, long nowMillis) {
+        if (state.hasEnded()) {
             return List.of();
         }
         return limit(state, nowMillis)
                 .map(List::of)
                 .orElseGet(() -> state.agents().values().stream()
-                        .flatMap(agent -> next(agent).stream())
+                        .flatMap(agent -> nextStep(agent).stream())
                         .toList());
     }
 
@@ -125,7 +125,7 @@
      * @param callId the id of the call
      * @return the call, or empty if it is not the first pending action of an agent
      */
-    public static Optional<PendingAction> head(ProgramState state, String callId) {
+    public static Optional<PendingAction> findPendingCall(ProgramState state, String callId) {
         return owner(state, callId).map(agent -> agent.pending().getFirst());
     }
 
@@ -162,7 +162,7 @@
         return Optional.empty();
     }
 
-    private static Optional<ProgramStep> next(AgentState agent) {
+    private static Optional<ProgramStep> nextStep(AgentState agent) {
         if (agent.done()) {
             return Optional.empty();
         }
@@ -231,7 +231,7 @@
     }
 
     private static Optional<ProgramState> settleOnce(ProgramState state) {
-        if (state.over()) {
+        if (state.hasEnded()) {
             return Optional.empty();
         }
         return state.agents().values().stream()
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpAnswer.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpClientResponse.java
@@ -10,7 +10,7 @@
  * @param headers the headers, names in lower case
  * @param body the body; empty if it was streamed
  */
-public record HttpAnswer(int status, Map<String, String> headers, byte[] body) {
+public record HttpClientResponse(int status, Map<String, String> headers, byte[] body) {
     /**
      * Returns the body as text.
      *
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpFailure.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpException.java
@@ -4,10 +4,10 @@
 import org.parsleydrift.kernel.StepException;
 
 /** Thrown if an HTTP request ends without a complete response. */
-public final class HttpFailure extends StepException {
+public final class HttpException extends StepException {
     private final boolean sent;
 
-    HttpFailure(String peer, boolean sent, String message) {
+    HttpException(String peer, boolean sent, String message) {
         super(Step.CALL, peer, message);
         this.sent = sent;
     }
@@ -17,7 +17,7 @@
      *
      * @return false if the request was certainly not sent
      */
-    public boolean sent() {
+    public boolean isPossiblySent() {
         return sent;
     }
 }
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpExchange.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpExchange.java
@@ -67,7 +67,7 @@
      * @param fallback the value to return if the parameter is absent
      * @return the first value of the parameter, decoded
      */
-    public String query(String name, String fallback) {
+    public String queryParameter(String name, String fallback) {
         Map<String, List<String>> parameters = target.parameters();
         return parameters.containsKey(name) ? parameters.get(name).getFirst() : fallback;
     }
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpRequestSpec.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpRequestSpec.java
@@ -9,12 +9,12 @@
  * @param method the HTTP method
  * @param target the path and query
  * @param body the body, empty for none
- * @param silence the maximum time without received data, after which the request fails
- * @param reuse whether the request may use a pooled connection; must be false for non-idempotent requests, since it is
+ * @param idleTimeout the maximum time without received data, after which the request fails
+ * @param reuseConnection whether the request may use a pooled connection; must be false for non-idempotent requests, since it is
  *     unknown whether a request arrived if the server closes the pooled connection at the same time
  */
 public record HttpRequestSpec(
-        String address, String method, String target, byte[] body, Duration silence, boolean reuse) {
+        String address, String method, String target, byte[] body, Duration idleTimeout, boolean reuseConnection) {
     private static final byte[] NOTHING = {};
 
     /**
