--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/Deadline.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/Deadline.java
@@ -16,25 +16,25 @@
      * timeout.
      *
      * @param loop the event loop on which the timeout runs
-     * @param answer the pending response
+     * @param response the pending response
      * @param timeout the maximum time to wait
      * @param key the key of the requested object
      * @param <T> the type of the response
      * @return completes like the response, or fails with {@link StoreFailure#UNKNOWN} after the timeout
      */
     public static <T> CompletableFuture<T> withTimeout(
-            EventLoop loop, CompletableFuture<T> answer, Duration timeout, String key) {
-        CompletableFuture<T> bounded = new CompletableFuture<>();
+            EventLoop loop, CompletableFuture<T> response, Duration timeout, String key) {
+        CompletableFuture<T> result = new CompletableFuture<>();
         Cancellable timer = loop.schedule(
-                timeout, () -> bounded.completeExceptionally(new StoreException(StoreFailure.UNKNOWN, key)));
-        answer.whenComplete((value, failure) -> {
+                timeout, () -> result.completeExceptionally(new StoreException(StoreFailure.UNKNOWN, key)));
+        response.whenComplete((value, failure) -> {
             timer.cancel();
             if (failure == null) {
-                bounded.complete(value);
+                result.complete(value);
             } else {
-                bounded.completeExceptionally(failure);
+                result.completeExceptionally(failure);
             }
         });
-        return bounded;
+        return result;
     }
 }
--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalOptions.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalOptions.java
@@ -6,11 +6,11 @@
  * Settings of the access to a journal.
  *
  * @param commitInterval the minimum time between the starts of two segment writes
- * @param answerTimeout the time after which a request without a response has an unknown outcome
+ * @param requestTimeout the time after which a request without a response has an unknown outcome
  * @param retryDelay the delay before a rejected or lost request is retried
  * @param segmentBytes the maximum total size of the records of one segment, 1 to 1,000,000 bytes
  */
-public record JournalOptions(Duration commitInterval, Duration answerTimeout, Duration retryDelay, int segmentBytes) {
+public record JournalOptions(Duration commitInterval, Duration requestTimeout, Duration retryDelay, int segmentBytes) {
     private static final int MAX_OBJECT_BYTES = 1_000_000;
 
     /**
--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalReader.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalReader.java
@@ -12,7 +12,7 @@
 
 /** Reads, seals and deletes journals. */
 public final class JournalReader {
-    private static final int READS_AT_ONCE = 16;
+    private static final int MAX_CONCURRENT_READS = 16;
 
     private final EventLoop loop;
     private final ObjectStore store;
@@ -39,11 +39,12 @@
      *     request to the object store fails
      */
     public CompletableFuture<List<Segment>> read(String incarnation) {
-        return rows(incarnation)
+        return listSegments(incarnation)
                 .thenComposeAsync(
-                        rows -> rows.isEmpty()
+                        objects -> objects.isEmpty()
                                 ? CompletableFuture.completedFuture(List.<Segment>of())
-                                : segment(rows.getLast().key()).thenComposeAsync(last -> readFrom(rows, last), loop),
+                                : readSegment(objects.getLast().key())
+                                        .thenComposeAsync(last -> readFrom(objects, last), loop),
                         loop);
     }
 
@@ -56,15 +57,16 @@
      *     fails
      */
     public CompletableFuture<Seal> seal(String incarnation, Seal seal) {
-        return rows(incarnation)
+        return listSegments(incarnation)
                 .thenComposeAsync(
-                        rows -> rows.isEmpty()
-                                ? setSeal(incarnation, 1, 1, seal)
-                                : segment(rows.getLast().key())
+                        objects -> objects.isEmpty()
+                                ? createSeal(incarnation, 1, 1, seal)
+                                : readSegment(objects.getLast().key())
                                         .thenComposeAsync(
                                                 last -> last.hasSeal()
                                                         ? CompletableFuture.completedFuture(last.seal())
-                                                        : setSeal(incarnation, last.sequence() + 1, last.base(), seal),
+                                                        : createSeal(
+                                                                incarnation, last.sequence() + 1, last.base(), seal),
                                                 loop),
                         loop);
     }
@@ -76,82 +78,82 @@
      * @return completes when the segments are deleted; fails if a request to the object store fails
      */
     public CompletableFuture<Void> deleteAllButSeal(String incarnation) {
-        return rows(incarnation)
+        return listSegments(incarnation)
                 .thenComposeAsync(
-                        rows -> CompletableFuture.allOf(rows.stream()
-                                .limit(Math.max(0, rows.size() - 1))
-                                .map(row -> bounded(store.delete(row.key()), row.key()))
+                        objects -> CompletableFuture.allOf(objects.stream()
+                                .limit(Math.max(0, objects.size() - 1))
+                                .map(object -> withTimeout(store.delete(object.key()), object.key()))
                                 .toArray(CompletableFuture[]::new)),
                         loop);
     }
 
-    private CompletableFuture<Seal> setSeal(String incarnation, long sequence, long base, Seal seal) {
+    private CompletableFuture<Seal> createSeal(String incarnation, long sequence, long base, Seal seal) {
         String key = JournalKeys.segment(incarnation, sequence);
         byte[] bytes = new Segment(incarnation, sequence, base, List.of(), seal).encode();
-        return bounded(store.create(key, bytes), key)
+        return withTimeout(store.create(key, bytes), key)
                 .handleAsync(
                         (version, failure) -> failure == null
                                 ? CompletableFuture.completedFuture(seal)
                                 // The owner wrote a segment, another node sealed the journal, or the response was lost.
-                                : resolve(incarnation, key, seal, failure),
+                                : resolveExisting(incarnation, key, seal, failure),
                         loop)
                 .thenCompose(result -> result);
     }
 
-    private CompletableFuture<Seal> resolve(String incarnation, String key, Seal seal, Throwable failure) {
-        return bounded(store.read(key), key)
+    private CompletableFuture<Seal> resolveExisting(String incarnation, String key, Seal seal, Throwable failure) {
+        return withTimeout(store.read(key), key)
                 .thenComposeAsync(
                         found -> {
                             if (found.isEmpty()) {
                                 return CompletableFuture.failedFuture(failure);
                             }
-                            Segment there = Segment.decode(found.get().value(), key);
-                            return there.hasSeal()
-                                    ? CompletableFuture.completedFuture(there.seal())
-                                    : setSeal(incarnation, there.sequence() + 1, there.base(), seal);
+                            Segment existing = Segment.decode(found.get().value(), key);
+                            return existing.hasSeal()
+                                    ? CompletableFuture.completedFuture(existing.seal())
+                                    : createSeal(incarnation, existing.sequence() + 1, existing.base(), seal);
                         },
                         loop);
     }
 
-    private CompletableFuture<List<Segment>> readFrom(List<StoredObject> rows, Segment last) {
-        List<String> keys = rows.stream()
+    private CompletableFuture<List<Segment>> readFrom(List<StoredObject> objects, Segment last) {
+        List<String> keys = objects.stream()
                 .map(StoredObject::key)
                 .filter(key -> JournalKeys.sequence(key) >= last.base())
                 .toList();
         return readBatch(keys, 0, new ArrayList<>());
     }
 
-    private CompletableFuture<List<Segment>> readBatch(List<String> keys, int from, List<Segment> done) {
+    private CompletableFuture<List<Segment>> readBatch(List<String> keys, int from, List<Segment> segments) {
         if (from >= keys.size()) {
-            done.sort(Comparator.comparingLong(Segment::sequence));
-            return CompletableFuture.completedFuture(done);
+            segments.sort(Comparator.comparingLong(Segment::sequence));
+            return CompletableFuture.completedFuture(segments);
         }
-        int to = Math.min(keys.size(), from + READS_AT_ONCE);
+        int to = Math.min(keys.size(), from + MAX_CONCURRENT_READS);
         List<CompletableFuture<Segment>> reads =
-                keys.subList(from, to).stream().map(this::segment).toList();
+                keys.subList(from, to).stream().map(this::readSegment).toList();
         return CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new))
                 .thenComposeAsync(
-                        nothing -> {
-                            reads.forEach(read -> done.add(read.join()));
-                            return readBatch(keys, to, done);
+                        ignored -> {
+                            reads.forEach(read -> segments.add(read.join()));
+                            return readBatch(keys, to, segments);
                         },
                         loop);
     }
 
-    private CompletableFuture<Segment> segment(String key) {
-        return bounded(store.read(key), key)
+    private CompletableFuture<Segment> readSegment(String key) {
+        return withTimeout(store.read(key), key)
                 .thenApplyAsync(
                         found -> found.map(object -> Segment.decode(object.value(), key))
                                 .orElseThrow(() -> new StepException(Step.TAKEOVER, key, "journal segment not found")),
                         loop);
     }
 
-    private CompletableFuture<List<StoredObject>> rows(String incarnation) {
+    private CompletableFuture<List<StoredObject>> listSegments(String incarnation) {
         String prefix = JournalKeys.prefix(incarnation);
-        return bounded(store.list(prefix), prefix);
+        return withTimeout(store.list(prefix), prefix);
     }
 
-    private <T> CompletableFuture<T> bounded(CompletableFuture<T> answer, String key) {
-        return Deadline.withTimeout(loop, answer, options.answerTimeout(), key);
+    private <T> CompletableFuture<T> withTimeout(CompletableFuture<T> response, String key) {
+        return Deadline.withTimeout(loop, response, options.requestTimeout(), key);
     }
 }
--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalWriter.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalWriter.java
@@ -31,16 +31,16 @@
     private final String incarnation;
     private final JournalOptions options;
     private final Consumer<FencedException> onFenced;
-    private final ArrayDeque<JournalEntry> waiting = new ArrayDeque<>();
+    private final ArrayDeque<JournalEntry> pending = new ArrayDeque<>();
     private List<JournalEntry> inFlight = List.of();
     private Duration commitInterval;
-    private long sequence;
+    private long durableSequence;
     private long base = 1;
     private long durableBase = 1;
     private boolean writing;
-    private boolean wakeUpSet;
+    private boolean writeScheduled;
     private long writeStartedNanos;
-    private long lastDurableNanos;
+    private long lastDurableWriteStartNanos;
     private FencedException fenced;
 
     /**
@@ -64,8 +64,8 @@
         this.options = options;
         this.onFenced = onFenced;
         this.commitInterval = options.commitInterval();
-        this.lastDurableNanos = loop.clock().nanos();
-        this.writeStartedNanos = lastDurableNanos - commitInterval.toNanos();
+        this.lastDurableWriteStartNanos = loop.clock().nanos();
+        this.writeStartedNanos = lastDurableWriteStartNanos - commitInterval.toNanos();
     }
 
     /**
@@ -88,8 +88,8 @@
             entry.durable().completeExceptionally(fenced);
             return entry;
         }
-        waiting.add(entry);
-        writeWhenDue();
+        pending.add(entry);
+        scheduleWrite();
         return entry;
     }
 
@@ -126,7 +126,7 @@
      * @return the sequence number, 0 before the first durable segment
      */
     public long durableSequence() {
-        return sequence;
+        return durableSequence;
     }
 
     /**
@@ -145,7 +145,7 @@
      * @return the time since the start of the last write that became durable, or since creation of this writer
      */
     public Duration timeSinceDurableWrite() {
-        return Duration.ofNanos(loop.clock().nanos() - lastDurableNanos);
+        return Duration.ofNanos(loop.clock().nanos() - lastDurableWriteStartNanos);
     }
 
     /**
@@ -154,7 +154,7 @@
      * @return true if no write is in progress and none is needed
      */
     public boolean isIdle() {
-        return !writing && waiting.isEmpty();
+        return !writing && pending.isEmpty();
     }
 
     /**
@@ -166,21 +166,21 @@
         return fenced != null;
     }
 
-    private void writeWhenDue() {
-        if (writing || wakeUpSet || waiting.isEmpty() || fenced != null) {
+    private void scheduleWrite() {
+        if (writing || writeScheduled || pending.isEmpty() || fenced != null) {
             return;
         }
-        long waitNanos =
+        long delayNanos =
                 writeStartedNanos + commitInterval.toNanos() - loop.clock().nanos();
-        wakeUpSet = true;
-        loop.schedule(Duration.ofNanos(Math.max(0, waitNanos)), () -> {
-            wakeUpSet = false;
+        writeScheduled = true;
+        loop.schedule(Duration.ofNanos(Math.max(0, delayNanos)), () -> {
+            writeScheduled = false;
             startWrite();
         });
     }
 
     private void startWrite() {
-        if (writing || waiting.isEmpty() || fenced != null) {
+        if (writing || pending.isEmpty() || fenced != null) {
             return;
         }
         inFlight = takeBatch();
@@ -188,7 +188,7 @@
         writeStartedNanos = loop.clock().nanos();
         Segment segment = new Segment(
                 incarnation,
-                sequence + 1,
+                durableSequence + 1,
                 base,
                 inFlight.stream().map(JournalEntry::record).toList(),
                 null);
@@ -198,9 +198,9 @@
     private List<JournalEntry> takeBatch() {
         List<JournalEntry> batch = new ArrayList<>();
         int bytes = 0;
-        while (!waiting.isEmpty()
-                && (batch.isEmpty() || bytes + waiting.peek().record().length <= options.segmentBytes())) {
-            JournalEntry entry = waiting.poll();
+        while (!pending.isEmpty()
+                && (batch.isEmpty() || bytes + pending.peek().record().length <= options.segmentBytes())) {
+            JournalEntry entry = pending.poll();
             bytes += entry.record().length;
             batch.add(entry);
         }
@@ -209,16 +209,16 @@
 
     private void create(Segment segment, byte[] bytes) {
         String key = JournalKeys.segment(incarnation, segment.sequence());
-        bounded(store.create(key, bytes), key)
+        withTimeout(store.create(key, bytes), key)
                 .whenCompleteAsync(
                         (version, failure) -> {
                             if (failure == null) {
-                                finish(segment);
+                                completeWrite(segment);
                                 return;
                             }
                             switch (StoreException.of(failure)) {
                                 case CONFLICT, UNKNOWN -> readBack(segment, bytes);
-                                case REFUSED, ABSENT -> later(() -> create(segment, bytes));
+                                case REFUSED, ABSENT -> retryLater(() -> create(segment, bytes));
                             }
                         },
                         loop);
@@ -226,40 +226,40 @@
 
     private void readBack(Segment segment, byte[] bytes) {
         String key = JournalKeys.segment(incarnation, segment.sequence());
-        bounded(store.read(key), key)
+        withTimeout(store.read(key), key)
                 .whenCompleteAsync(
                         (found, failure) -> {
                             if (failure != null) {
-                                later(() -> readBack(segment, bytes));
+                                retryLater(() -> readBack(segment, bytes));
                             } else if (found.isEmpty()) {
-                                later(() -> create(segment, bytes));
+                                retryLater(() -> create(segment, bytes));
                             } else {
-                                judge(segment, found.get());
+                                resolveExisting(segment, found.get());
                             }
                         },
                         loop);
     }
 
-    private void judge(Segment mine, StoredObject found) {
-        Segment there = Segment.decode(found.value(), found.key());
-        if (there.hasSeal()) {
-            fence(there.seal());
+    private void resolveExisting(Segment segment, StoredObject found) {
+        Segment existing = Segment.decode(found.value(), found.key());
+        if (existing.hasSeal()) {
+            fence(existing.seal());
         } else {
             // Other nodes create only seals in this journal and the owner has one write in flight, so this is the
             // segment being written.
-            finish(mine);
+            completeWrite(segment);
         }
     }
 
-    private void finish(Segment segment) {
-        sequence = segment.sequence();
+    private void completeWrite(Segment segment) {
+        durableSequence = segment.sequence();
         durableBase = segment.base();
-        lastDurableNanos = writeStartedNanos;
+        lastDurableWriteStartNanos = writeStartedNanos;
         writing = false;
-        List<JournalEntry> done = inFlight;
+        List<JournalEntry> completed = inFlight;
         inFlight = List.of();
-        done.forEach(entry -> entry.durable().complete(null));
-        writeWhenDue();
+        completed.forEach(entry -> entry.durable().complete(null));
+        scheduleWrite();
     }
 
     private void fence(Seal seal) {
@@ -269,22 +269,22 @@
                 Logger.Level.WARNING,
                 LogLine.of("journal_fenced")
                         .with("journal", incarnation)
-                        .with("sequence", sequence + 1)
+                        .with("sequence", durableSequence + 1)
                         .with("sealed_by", seal.sealedBy())
                         .toString());
-        List<JournalEntry> lost = new ArrayList<>(inFlight);
-        lost.addAll(waiting);
+        List<JournalEntry> failed = new ArrayList<>(inFlight);
+        failed.addAll(pending);
         inFlight = List.of();
-        waiting.clear();
+        pending.clear();
         onFenced.accept(fenced);
-        lost.forEach(entry -> entry.durable().completeExceptionally(fenced));
+        failed.forEach(entry -> entry.durable().completeExceptionally(fenced));
     }
 
-    private void later(Runnable task) {
+    private void retryLater(Runnable task) {
         loop.schedule(options.retryDelay(), task);
     }
 
-    private <T> CompletableFuture<T> bounded(CompletableFuture<T> answer, String key) {
-        return Deadline.withTimeout(loop, answer, options.answerTimeout(), key);
+    private <T> CompletableFuture<T> withTimeout(CompletableFuture<T> response, String key) {
+        return Deadline.withTimeout(loop, response, options.requestTimeout(), key);
     }
 }
--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/Seal.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/Seal.java
@@ -19,10 +19,10 @@
     /**
      * Returns the incarnation that takes over a program.
      *
-     * @param programText the program's id as text
+     * @param programId the program's id as text
      * @return one of the successors
      */
-    public String successorOf(String programText) {
-        return successors.get(Math.floorMod(programText.hashCode(), successors.size()));
+    public String successorOf(String programId) {
+        return successors.get(Math.floorMod(programId.hashCode(), successors.size()));
     }
 }
--- a/parsleydrift-journal/src/test/java/org/parsleydrift/journal/JournalHistoryTest.java
+++ b/parsleydrift-journal/src/test/java/org/parsleydrift/journal/JournalHistoryTest.java
@@ -29,7 +29,7 @@
      * two nodes seal the journal concurrently.
      */
     @Test
-    public void acknowledgedRecordsAreThereOnceAndInOrder() {
+    public void acknowledgedRecordsAreStoredOnceAndInOrder() {
         IntStream.range(0, RUNS).forEach(this::checkRun);
     }
 
@@ -61,17 +61,17 @@
         var read = new JournalReader(scheduler.newLoop(), store, OPTIONS).read("j");
         scheduler.advance(Duration.ofSeconds(2));
         List<Segment> segments = read.join();
-        List<String> there = segments.stream()
+        List<String> stored = segments.stream()
                 .flatMap(segment -> segment.records().stream())
                 .map(bytes -> new String(bytes, StandardCharsets.UTF_8))
                 .toList();
-        String run = "seed " + seed;
-        assertEquals(there.stream().distinct().count(), there.size(), run);
-        assertTrue(there.containsAll(acknowledged), run);
-        assertEquals(there.stream().filter(acknowledged::contains).toList(), acknowledged, run);
-        assertEquals(segments.stream().filter(Segment::hasSeal).count(), 1, run);
-        assertTrue(segments.getLast().hasSeal(), run);
-        assertEquals(seals.stream().distinct().count(), 1, run);
+        String message = "seed " + seed;
+        assertEquals(stored.stream().distinct().count(), stored.size(), message);
+        assertTrue(stored.containsAll(acknowledged), message);
+        assertEquals(stored.stream().filter(acknowledged::contains).toList(), acknowledged, message);
+        assertEquals(segments.stream().filter(Segment::hasSeal).count(), 1, message);
+        assertTrue(segments.getLast().hasSeal(), message);
+        assertEquals(seals.stream().distinct().count(), 1, message);
     }
 
     private static void seal(
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/DisruptorEventLoop.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/DisruptorEventLoop.java
@@ -13,13 +13,13 @@
 public final class DisruptorEventLoop implements EventLoop, AutoCloseable {
     private static final Logger LOG = System.getLogger(DisruptorEventLoop.class.getName());
     private static final int RING_SIZE = 1 << 16;
-    private static final long TICK_MILLIS = 2;
-    private static final long CLOSE_WAIT_SECONDS = 2;
+    private static final long TIMER_RESOLUTION_MILLIS = 2;
+    private static final long CLOSE_TIMEOUT_SECONDS = 2;
 
     private final RuntimeClock clock;
     private final Disruptor<Slot> disruptor;
     private final TimerQueue timers = new TimerQueue();
-    private final ArrayDeque<Runnable> local = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> localTasks = new ArrayDeque<>();
     private volatile Thread consumer;
 
     /**
@@ -39,7 +39,7 @@
                     return thread;
                 },
                 ProducerType.MULTI,
-                new TimeoutBlockingWaitStrategy(TICK_MILLIS, TimeUnit.MILLISECONDS));
+                new TimeoutBlockingWaitStrategy(TIMER_RESOLUTION_MILLIS, TimeUnit.MILLISECONDS));
         disruptor.handleEventsWith(new Consumer());
         disruptor.start();
     }
@@ -56,7 +56,7 @@
     @Override
     public void execute(Runnable task) {
         if (Thread.currentThread() == consumer) {
-            local.add(task);
+            localTasks.add(task);
         } else {
             disruptor.publishEvent((slot, sequence) -> slot.task = task);
         }
@@ -80,8 +80,8 @@
     @Override
     public void close() {
         try {
-            disruptor.shutdown(CLOSE_WAIT_SECONDS, TimeUnit.SECONDS);
-        } catch (com.lmax.disruptor.TimeoutException late) {
+            disruptor.shutdown(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        } catch (com.lmax.disruptor.TimeoutException e) {
             LOG.log(Logger.Level.WARNING, LogLine.of("loop_close_late").toString());
             disruptor.halt();
         }
@@ -90,18 +90,18 @@
     private void runSafely(Runnable task) {
         try {
             task.run();
-        } catch (RuntimeException | AssertionError fault) {
+        } catch (RuntimeException | AssertionError e) {
             // A failing task must not terminate the event loop and the other programs of the node.
-            LOG.log(Logger.Level.ERROR, LogLine.of("loop_task_failed").toString(), fault);
+            LOG.log(Logger.Level.ERROR, LogLine.of("loop_task_failed").toString(), e);
         }
     }
 
-    private void runTimersAndLocal() {
+    private void runTimersAndLocalTasks() {
         long now = clock.nanos();
         for (var due = timers.poll(now); due != null; due = timers.poll(now)) {
             runSafely(due::run);
         }
-        for (Runnable task = local.poll(); task != null; task = local.poll()) {
+        for (Runnable task = localTasks.poll(); task != null; task = localTasks.poll()) {
             runSafely(task);
         }
     }
@@ -121,12 +121,12 @@
             Runnable task = slot.task;
             slot.task = null;
             runSafely(task);
-            runTimersAndLocal();
+            runTimersAndLocalTasks();
         }
 
         @Override
         public void onTimeout(long sequence) {
-            runTimersAndLocal();
+            runTimersAndLocalTasks();
         }
     }
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/LogLine.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/LogLine.java
@@ -26,7 +26,7 @@
      * @return this line
      */
     public LogLine with(String key, Object value) {
-        text.append(' ').append(key).append('=').append(quoted(value == null ? "-" : value.toString()));
+        text.append(' ').append(key).append('=').append(quoteIfNeeded(value == null ? "-" : value.toString()));
         return this;
     }
 
@@ -49,8 +49,8 @@
         return text.toString();
     }
 
-    private static String quoted(String value) {
-        boolean plain = !value.isEmpty() && value.chars().allMatch(LogLine::plain);
+    private static String quoteIfNeeded(String value) {
+        boolean plain = !value.isEmpty() && value.chars().allMatch(LogLine::isPlain);
         if (plain) {
             return value;
         }
@@ -67,7 +67,7 @@
         return out.append('"').toString();
     }
 
-    private static boolean plain(int c) {
+    private static boolean isPlain(int c) {
         return c > ' ' && c != '"' && c != '=' && c != '\\' && c != 127;
     }
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/ManualScheduler.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/ManualScheduler.java
@@ -46,7 +46,7 @@
         nowNanos = end;
     }
 
-    Cancellable at(long dueNanos, Runnable task) {
+    Cancellable scheduleAt(long dueNanos, Runnable task) {
         return queue.add(dueNanos, task);
     }
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/InvalidJsonException.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/InvalidJsonException.java
@@ -7,18 +7,18 @@
 
 /** Thrown if a JSON text cannot be parsed or does not match its schema. Carries every error found. */
 public final class InvalidJsonException extends StepException {
-    private final transient List<JsonError> faults;
+    private final transient List<JsonError> errors;
 
     /**
      * Creates an exception.
      *
      * @param step the step that read the text
      * @param name the name of the text, for example a file name
-     * @param faults all errors found
+     * @param errors all errors found
      */
-    public InvalidJsonException(Step step, String name, List<JsonError> faults) {
-        super(step, name, faults.stream().map(JsonError::toString).collect(Collectors.joining("; ")));
-        this.faults = List.copyOf(faults);
+    public InvalidJsonException(Step step, String name, List<JsonError> errors) {
+        super(step, name, errors.stream().map(JsonError::toString).collect(Collectors.joining("; ")));
+        this.errors = List.copyOf(errors);
     }
 
     /**
@@ -27,6 +27,6 @@
      * @return all errors in the order of the checks, within one check by line and column
      */
     public List<JsonError> errors() {
-        return faults;
+        return errors;
     }
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/JsonDocument.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/JsonDocument.java
@@ -55,15 +55,15 @@
     public static JsonDocument parse(Step step, String name, String text) {
         try {
             JsonNode root = MAPPER.readTree(text);
-            return new JsonDocument(name, step, root, locate(text));
-        } catch (JsonProcessingException fault) {
-            JsonLocation at = fault.getLocation();
-            int line = at == null ? 1 : at.getLineNr();
-            int column = at == null ? 1 : at.getColumnNr();
+            return new JsonDocument(name, step, root, locateValues(text));
+        } catch (JsonProcessingException e) {
+            JsonLocation location = e.getLocation();
+            int line = location == null ? 1 : location.getLineNr();
+            int column = location == null ? 1 : location.getColumnNr();
             throw new InvalidJsonException(
-                    step, name, List.of(new JsonError(line, column, "", fault.getOriginalMessage())));
-        } catch (IOException fault) {
-            throw new UncheckedIOException(fault);
+                    step, name, List.of(new JsonError(line, column, "", e.getOriginalMessage())));
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
         }
     }
 
@@ -80,18 +80,18 @@
      */
     public <T> T read(Class<?> owner, String schemaFile, Class<T> type) {
         Schema schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
-                .getSchema(resource(owner, schemaFile));
-        List<JsonError> faults = schema.validate(root).stream()
+                .getSchema(readResource(owner, schemaFile));
+        List<JsonError> errors = schema.validate(root).stream()
                 .map(error -> errorAt(error.getInstanceLocation().toString(), error.getMessage()))
                 .sorted(java.util.Comparator.comparingInt(JsonError::line).thenComparingInt(JsonError::column))
                 .toList();
-        if (!faults.isEmpty()) {
-            throw new InvalidJsonException(step, name, faults);
+        if (!errors.isEmpty()) {
+            throw new InvalidJsonException(step, name, errors);
         }
         try {
             return MAPPER.treeToValue(root, type);
-        } catch (JsonProcessingException fault) {
-            throw new InvalidJsonException(step, name, List.of(errorAt("", fault.getOriginalMessage())));
+        } catch (JsonProcessingException e) {
+            throw new InvalidJsonException(step, name, List.of(errorAt("", e.getOriginalMessage())));
         }
     }
 
@@ -103,13 +103,13 @@
      * @return the error with the line and column of the value, or 1 and 1 if there is no such value
      */
     public JsonError errorAt(String pointer, String message) {
-        JsonLocation at = locations.get(pointer);
-        return at == null
+        JsonLocation location = locations.get(pointer);
+        return location == null
                 ? new JsonError(1, 1, pointer, message)
-                : new JsonError(at.getLineNr(), at.getColumnNr(), pointer, message);
+                : new JsonError(location.getLineNr(), location.getColumnNr(), pointer, message);
     }
 
-    private static Map<String, JsonLocation> locate(String text) throws IOException {
+    private static Map<String, JsonLocation> locateValues(String text) throws IOException {
         Map<String, JsonLocation> locations = new HashMap<>();
         try (JsonParser parser = MAPPER.createParser(text)) {
             for (JsonToken token = parser.nextToken(); token != null; token = parser.nextToken()) {
@@ -120,14 +120,14 @@
         return locations;
     }
 
-    private static String resource(Class<?> owner, String file) {
+    private static String readResource(Class<?> owner, String file) {
         try (InputStream stream = owner.getResourceAsStream(file)) {
             if (stream == null) {
                 throw new IllegalStateException("schema resource not found: " + file);
             }
             return new String(stream.readAllBytes(), StandardCharsets.UTF_8);
-        } catch (IOException fault) {
-            throw new UncheckedIOException(fault);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
         }
     }
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/MessagePackCodec.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/MessagePackCodec.java
@@ -24,8 +24,8 @@
     public static byte[] encode(Object value) {
         try {
             return MAPPER.writeValueAsBytes(value);
-        } catch (IOException fault) {
-            throw new StepException(Step.PARSE, "self", "cannot encode value as MessagePack: " + fault.getMessage());
+        } catch (IOException e) {
+            throw new StepException(Step.PARSE, "self", "cannot encode value as MessagePack: " + e.getMessage());
         }
     }
 
@@ -46,8 +46,8 @@
                 throw new StepException(Step.PARSE, peer, "MessagePack value is null");
             }
             return value;
-        } catch (IOException fault) {
-            throw new StepException(Step.PARSE, peer, "malformed MessagePack value: " + fault.getMessage());
+        } catch (IOException e) {
+            throw new StepException(Step.PARSE, peer, "malformed MessagePack value: " + e.getMessage());
         }
     }
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/MessagePackFrames.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/MessagePackFrames.java
@@ -50,8 +50,8 @@
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             writer.write(out);
             return out.toByteArray();
-        } catch (IOException fault) {
-            throw new StepException(Step.PARSE, "self", "cannot encode frame as MessagePack: " + fault.getMessage());
+        } catch (IOException e) {
+            throw new StepException(Step.PARSE, "self", "cannot encode frame as MessagePack: " + e.getMessage());
         }
     }
 
@@ -67,8 +67,8 @@
     public static <T> T decode(byte[] bytes, Reader<T> reader) {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
             return reader.read(in);
-        } catch (IOException | RuntimeException fault) {
-            throw new StepException(Step.PARSE, "peer", "malformed MessagePack frame: " + fault.getMessage());
+        } catch (IOException | RuntimeException e) {
+            throw new StepException(Step.PARSE, "peer", "malformed MessagePack frame: " + e.getMessage());
         }
     }
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/PluginRegistry.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/PluginRegistry.java
@@ -17,8 +17,8 @@
      * @throws StepException if there is no plug-in with this name
      */
     public static ExternalSystemPlugin find(String name) {
-        ServiceLoader<ExternalSystemPlugin> all = ServiceLoader.load(ExternalSystemPlugin.class);
-        return all.stream()
+        ServiceLoader<ExternalSystemPlugin> plugins = ServiceLoader.load(ExternalSystemPlugin.class);
+        return plugins.stream()
                 .map(ServiceLoader.Provider::get)
                 .filter(plugin -> plugin.name().equals(name))
                 .findFirst()
@@ -26,7 +26,7 @@
                         Step.CONFIGURE,
                         "self",
                         "no plug-in named " + name + "; available: "
-                                + all.stream()
+                                + plugins.stream()
                                         .map(provider -> provider.get().name())
                                         .collect(Collectors.joining(", "))));
     }
--- a/parsleydrift-logging/src/main/java/org/parsleydrift/logging/LogRing.java
+++ b/parsleydrift-logging/src/main/java/org/parsleydrift/logging/LogRing.java
@@ -23,20 +23,21 @@
  */
 final class LogRing {
     /** Capacity in lines, a power of two as required by the ring buffer. */
-    private static final int SIZE = 1 << 12;
+    private static final int CAPACITY = 1 << 12;
     /** Maximum number of lines of one event per second. */
-    private static final int LINES_PER_SECOND = 60;
+    private static final int MAX_LINES_PER_SECOND = 60;
 
     private static final Duration DRAIN_PERIOD = Duration.ofMillis(100);
     /** Drain period while there is nothing to write, longer to reduce wake-ups of an idle process. */
     private static final Duration IDLE_DRAIN_PERIOD = Duration.ofMillis(500);
 
-    private static final Duration WINDOW = Duration.ofSeconds(1);
+    private static final Duration RATE_WINDOW = Duration.ofSeconds(1);
 
-    private final RingBuffer<Line> ring = RingBuffer.createMultiProducer(Line::new, SIZE, new SleepingWaitStrategy());
+    private final RingBuffer<Line> ring =
+            RingBuffer.createMultiProducer(Line::new, CAPACITY, new SleepingWaitStrategy());
     private final EventPoller<Line> poller = ring.newPoller();
     private final AtomicLong dropped = new AtomicLong();
-    private final Map<String, Window> windows = new ConcurrentHashMap<>();
+    private final Map<String, RateWindow> rateWindows = new ConcurrentHashMap<>();
     private final OutputStream out;
     private final RuntimeClock clock;
     private final StringBuilder batch = new StringBuilder();
@@ -53,20 +54,21 @@
 
     /** Adds a line without blocking. Errors are not rate limited. */
     void publish(Level level, String logger, String message, Throwable thrown) {
-        if (level.getSeverity() < Level.ERROR.getSeverity() && !admitted(message)) {
+        if (level.getSeverity() < Level.ERROR.getSeverity() && !isWithinRateLimit(message)) {
             return;
         }
         long now = clock.instant().toEpochMilli();
-        boolean taken = ring.tryPublishEvent((line, sequence) -> line.set(now, level, logger, message, thrown));
-        if (!taken) {
+        boolean published = ring.tryPublishEvent((line, sequence) -> line.set(now, level, logger, message, thrown));
+        if (!published) {
             dropped.incrementAndGet();
         }
     }
 
-    private boolean admitted(String message) {
+    private boolean isWithinRateLimit(String message) {
         int end = message.indexOf(' ');
-        String kind = end < 0 ? message : message.substring(0, end);
-        return windows.computeIfAbsent(kind, any -> new Window()).lines.incrementAndGet() <= LINES_PER_SECOND;
+        String event = end < 0 ? message : message.substring(0, end);
+        return rateWindows.computeIfAbsent(event, any -> new RateWindow()).lines.incrementAndGet()
+                <= MAX_LINES_PER_SECOND;
     }
 
     private void run() {
@@ -82,40 +84,43 @@
                 line.appendTo(batch);
                 return true;
             });
-            tellLeftOut();
-            boolean any = !batch.isEmpty();
-            if (any) {
+            reportDiscardedLines();
+            boolean hasOutput = !batch.isEmpty();
+            if (hasOutput) {
                 out.write(batch.toString().getBytes(StandardCharsets.UTF_8));
                 batch.setLength(0);
             }
-            return any;
-        } catch (IOException fault) {
-            throw new UncheckedIOException(fault);
-        } catch (Exception fault) {
-            throw new IllegalStateException(fault);
+            return hasOutput;
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        } catch (Exception e) {
+            throw new IllegalStateException(e);
         }
     }
 
-    private void tellLeftOut() {
+    private void reportDiscardedLines() {
         long now = clock.nanos();
-        if (now - windowStart < WINDOW.toNanos()) {
+        if (now - windowStart < RATE_WINDOW.toNanos()) {
             return;
         }
         windowStart = now;
-        windows.forEach((kind, window) -> {
-            long over = window.lines.getAndSet(0) - LINES_PER_SECOND;
-            if (over > 0) {
-                batch.append(LogLine.of("log_lines_left_out").with("kind", kind).with("count", over))
+        rateWindows.forEach((event, window) -> {
+            long suppressed = window.lines.getAndSet(0) - MAX_LINES_PER_SECOND;
+            if (suppressed > 0) {
+                batch.append(LogLine.of("log_lines_left_out")
+                                .with("kind", event)
+                                .with("count", suppressed))
                         .append('\n');
             }
         });
-        long lost = dropped.getAndSet(0);
-        if (lost > 0) {
-            batch.append(LogLine.of("log_lines_dropped").with("count", lost)).append('\n');
+        long droppedLines = dropped.getAndSet(0);
+        if (droppedLines > 0) {
+            batch.append(LogLine.of("log_lines_dropped").with("count", droppedLines))
+                    .append('\n');
         }
     }
 
-    private static final class Window {
+    private static final class RateWindow {
         private final AtomicLong lines = new AtomicLong();
     }
 
@@ -126,8 +131,8 @@
         private String message;
         private Throwable thrown;
 
-        private void set(long at, Level newLevel, String newLogger, String newMessage, Throwable newThrown) {
-            atMillis = at;
+        private void set(long newAtMillis, Level newLevel, String newLogger, String newMessage, Throwable newThrown) {
+            atMillis = newAtMillis;
             level = newLevel;
             logger = newLogger;
             message = newMessage;
--- a/parsleydrift-logging/src/main/java/org/parsleydrift/logging/RingLogger.java
+++ b/parsleydrift-logging/src/main/java/org/parsleydrift/logging/RingLogger.java
@@ -5,18 +5,18 @@
 
 /** A logger on the ring buffer. It discards lines below INFO, and lines of third-party libraries below WARNING. */
 final class RingLogger implements System.Logger {
-    private static final String OWN = "org.parsleydrift";
+    private static final String PROJECT_PREFIX = "org.parsleydrift";
 
     private final String name;
     private final String shortName;
     private final LogRing ring;
-    private final Level least;
+    private final Level minimumLevel;
 
     RingLogger(String name, LogRing ring) {
         this.name = name;
         this.shortName = name.substring(name.lastIndexOf('.') + 1);
         this.ring = ring;
-        this.least = name.startsWith(OWN) ? Level.INFO : Level.WARNING;
+        this.minimumLevel = name.startsWith(PROJECT_PREFIX) ? Level.INFO : Level.WARNING;
     }
 
     @Override
@@ -26,7 +26,7 @@
 
     @Override
     public boolean isLoggable(Level level) {
-        return level.getSeverity() >= least.getSeverity() && level != Level.OFF;
+        return level.getSeverity() >= minimumLevel.getSeverity() && level != Level.OFF;
     }
 
     @Override
@@ -39,8 +39,8 @@
     @Override
     public void log(Level level, ResourceBundle bundle, String format, Object... parameters) {
         if (isLoggable(level)) {
-            boolean plain = parameters == null || parameters.length == 0;
-            ring.publish(level, shortName, plain ? format : MessageFormat.format(format, parameters), null);
+            boolean hasNoParameters = parameters == null || parameters.length == 0;
+            ring.publish(level, shortName, hasNoParameters ? format : MessageFormat.format(format, parameters), null);
         }
     }
 }
--- a/parsleydrift-logging/src/test/java/org/parsleydrift/logging/LogRingTest.java
+++ b/parsleydrift-logging/src/test/java/org/parsleydrift/logging/LogRingTest.java
@@ -15,32 +15,32 @@
 
 /** Tests the log with bursts of lines and with a blocked output. */
 public class LogRingTest {
-    private final ManualScheduler time = new ManualScheduler();
+    private final ManualScheduler scheduler = new ManualScheduler();
 
-    private static long lines(ByteArrayOutputStream out, String start) {
+    private static long countLines(ByteArrayOutputStream out, String prefix) {
         return out.toString(UTF_8)
                 .lines()
-                .filter(line -> line.startsWith(start))
+                .filter(line -> line.startsWith(prefix))
                 .count();
     }
 
     /** Guards against a burst of one event that fills the output, hides other events or is not reported. */
     @Test
-    public void aStormOfOneKindIsThinnedAndTold() {
+    public void burstOfOneEventIsLimitedAndReported() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        LogRing ring = new LogRing(out, time);
-        time.advance(Duration.ofSeconds(2));
+        LogRing ring = new LogRing(out, scheduler);
+        scheduler.advance(Duration.ofSeconds(2));
         ring.drain();
         for (int i = 0; i < 1000; i++) {
             ring.publish(Level.INFO, "Test", "event=storm n=" + i, null);
         }
         ring.publish(Level.INFO, "Test", "event=rare", null);
         ring.drain();
-        time.advance(Duration.ofSeconds(2));
+        scheduler.advance(Duration.ofSeconds(2));
         ring.drain();
-        long kept = lines(out, "event=storm");
+        long kept = countLines(out, "event=storm");
         assertTrue(kept > 0 && kept < 100, "kept " + kept);
-        assertEquals(lines(out, "event=rare"), 1);
+        assertEquals(countLines(out, "event=rare"), 1);
         assertTrue(
                 out.toString(UTF_8).contains("event=log_lines_left_out kind=\"event=storm\" count=" + (1000 - kept)));
     }
@@ -49,7 +49,7 @@
      * Guards against callers that block because the log output is not read.
      */
     @Test
-    public void aBlockedOutputBlocksNobody() {
+    public void blockedOutputDoesNotBlockCallers() {
         CountDownLatch released = new CountDownLatch(1);
         LogRing ring = new LogRing(
                 new OutputStream() {
@@ -63,7 +63,7 @@
                         awaitRelease(released);
                     }
                 },
-                time);
+                scheduler);
         for (int i = 0; i < 50_000; i++) {
             ring.publish(Level.ERROR, "Test", "event=kind" + i, null);
         }
--- a/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/ManifestParser.java
+++ b/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/ManifestParser.java
@@ -11,7 +11,7 @@
 
 /** Parses and validates manifests. */
 public final class ManifestParser {
-    private static final String SCHEMA = "manifest.schema.json";
+    private static final String SCHEMA_FILE = "manifest.schema.json";
 
     private ManifestParser() {}
 
@@ -25,11 +25,11 @@
      */
     public static Manifest parse(String name, String text) {
         JsonDocument document = JsonDocument.parse(Step.MANIFEST, name, text);
-        Manifest manifest = document.read(ManifestParser.class, SCHEMA, Manifest.class);
-        List<JsonError> faults = Stream.concat(unknownModels(document, manifest), twiceUsedNames(document, manifest))
+        Manifest manifest = document.read(ManifestParser.class, SCHEMA_FILE, Manifest.class);
+        List<JsonError> errors = Stream.concat(unknownModels(document, manifest), duplicateNames(document, manifest))
                 .toList();
-        if (!faults.isEmpty()) {
-            throw new InvalidJsonException(Step.MANIFEST, name, faults);
+        if (!errors.isEmpty()) {
+            throw new InvalidJsonException(Step.MANIFEST, name, errors);
         }
         return manifest;
     }
@@ -42,13 +42,13 @@
                         "unknown model: " + agent.getValue().model()));
     }
 
-    private static Stream<JsonError> twiceUsedNames(JsonDocument document, Manifest manifest) {
+    private static Stream<JsonError> duplicateNames(JsonDocument document, Manifest manifest) {
         Map<String, OperationSpec> services = manifest.services();
-        List<JsonError> faults = new ArrayList<>();
+        List<JsonError> errors = new ArrayList<>();
         manifest.tools().keySet().stream()
                 .filter(services::containsKey)
                 .map(tool -> document.errorAt("/tools/" + tool, "duplicate name: a service has the same name"))
-                .forEach(faults::add);
-        return faults.stream();
+                .forEach(errors::add);
+        return errors.stream();
     }
 }
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/AgentState.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/AgentState.java
@@ -74,10 +74,10 @@
         return new AgentState(path, agent, turns, entries, pending, done);
     }
 
-    AgentState said(HistoryEntry entry) {
-        List<HistoryEntry> longer = new ArrayList<>(history);
-        longer.add(entry);
-        return new AgentState(path, agent, turns, longer, pending, done);
+    AgentState withHistoryEntry(HistoryEntry entry) {
+        List<HistoryEntry> extended = new ArrayList<>(history);
+        extended.add(entry);
+        return new AgentState(path, agent, turns, extended, pending, done);
     }
 
     AgentState withTurn() {
@@ -88,11 +88,11 @@
         return new AgentState(path, agent, turns, history, actions, done);
     }
 
-    AgentState ended() {
+    AgentState asEnded() {
         return new AgentState(path, agent, turns, history, List.of(), true);
     }
 
-    AgentState withoutHead() {
+    AgentState withoutFirstPending() {
         return withPending(pending.subList(1, pending.size()));
     }
 }
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/BudgetLedger.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/BudgetLedger.java
@@ -23,11 +23,11 @@
     /**
      * Returns the number of tokens that a turn may reserve.
      *
-     * @param wanted the maximum number of tokens of the turn
+     * @param requested the maximum number of tokens of the turn
      * @return the smaller of {@code wanted} and the tokens left; 0 if none are left
      */
-    public int grant(int wanted) {
-        return (int) Math.max(0, Math.min(wanted, limit - spent - reserved));
+    public int grant(int requested) {
+        return (int) Math.max(0, Math.min(requested, limit - spent - reserved));
     }
 
     /**
@@ -43,11 +43,11 @@
     /**
      * Releases the reservation of a turn and charges the tokens that it used.
      *
-     * @param held the tokens reserved for the turn
-     * @param used the tokens used by the turn
+     * @param reservedTokens the tokens reserved for the turn
+     * @param usedTokens the tokens used by the turn
      * @return the updated ledger
      */
-    public BudgetLedger settle(int held, int used) {
-        return new BudgetLedger(limit, spent + used, reserved - held);
+    public BudgetLedger settle(int reservedTokens, int usedTokens) {
+        return new BudgetLedger(limit, spent + usedTokens, reserved - reservedTokens);
     }
 }
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramId.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramId.java
@@ -17,7 +17,7 @@
  * @param key the caller's idempotency key
  */
 public record ProgramId(String journal, long issuedMinutes, String team, String key) {
-    private static final Pattern PART = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
+    private static final Pattern PART_PATTERN = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
     private static final String SEPARATOR = "~";
 
     /**
@@ -27,9 +27,9 @@
      *     letter or a digit
      */
     public ProgramId {
-        check("ticket", journal);
-        check("team", team);
-        check("key", key);
+        validate("ticket", journal);
+        validate("team", team);
+        validate("key", key);
     }
 
     /**
@@ -45,7 +45,7 @@
         if (parts.length != 4) {
             throw new StepException(Step.PARSE, "caller", "malformed program id, expected JOURNAL~MINUTES~TEAM~KEY");
         }
-        return new ProgramId(parts[0], minutes(parts[1]), parts[2], parts[3]);
+        return new ProgramId(parts[0], parseMinutes(parts[1]), parts[2], parts[3]);
     }
 
     @JsonValue
@@ -63,18 +63,18 @@
         return journal + SEPARATOR + issuedMinutes;
     }
 
-    private static long minutes(String text) {
+    private static long parseMinutes(String text) {
         try {
             return Long.parseLong(text);
-        } catch (NumberFormatException fault) {
+        } catch (NumberFormatException e) {
             throw new StepException(
                     Step.PARSE, "caller", "malformed ticket, the time of issue is not a number of minutes");
         }
     }
 
-    private static void check(String part, String value) {
-        if (value == null || !PART.matcher(value).matches()) {
-            throw new StepException(Step.PARSE, "caller", part + " must match " + PART.pattern());
+    private static void validate(String part, String value) {
+        if (value == null || !PART_PATTERN.matcher(value).matches()) {
+            throw new StepException(Step.PARSE, "caller", part + " must match " + PART_PATTERN.pattern());
         }
     }
 }
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramState.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramState.java
@@ -165,15 +165,26 @@
                 detail);
     }
 
-    ProgramState withUnknown(String call) {
+    ProgramState withUnknownOutcome(String call) {
         List<String> copy = new ArrayList<>(unknown);
         copy.add(call);
         return new ProgramState(
                 id, agent, budget, generation, startedMillis, agents, usage, messages, consumed, copy, end, detail);
     }
 
-    ProgramState withEnd(ProgramEnd why, String reason) {
+    ProgramState withEnd(ProgramEnd newEnd, String newDetail) {
         return new ProgramState(
-                id, agent, budget, generation, startedMillis, agents, usage, messages, consumed, unknown, why, reason);
+                id,
+                agent,
+                budget,
+                generation,
+                startedMillis,
+                agents,
+                usage,
+                messages,
+                consumed,
+                unknown,
+                newEnd,
+                newDetail);
     }
 }
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramStateMachine.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramStateMachine.java
@@ -14,7 +14,7 @@
  * state and the current time only.
  */
 public final class ProgramStateMachine {
-    private static final int PLAIN_CALL_SECONDS = 3600;
+    private static final int PLAIN_CALL_TIMEOUT_SECONDS = 3600;
 
     private ProgramStateMachine() {}
 
@@ -61,7 +61,7 @@
         return new ProgramState(
                 started.id(),
                 started.service(),
-                new Budget(1, 1, 1, PLAIN_CALL_SECONDS, 0, 0, null),
+                new Budget(1, 1, 1, PLAIN_CALL_TIMEOUT_SECONDS, 0, 0, null),
                 started.generation(),
                 started.atMillis(),
                 Map.of(path, root),
@@ -89,14 +89,14 @@
             case ProgramEvent.Started ignored -> state;
             case ProgramEvent.CallStarted ignored -> state;
             case ProgramEvent.Restored restored -> restored.state();
-            case ProgramEvent.TurnEnded ended -> turnEnded(state, ended);
-            case ProgramEvent.TurnLost lost -> state.withUsage(state.usage().lost(lost.tokens()));
-            case ProgramEvent.CallIntended intended -> callIntended(state, intended.callId());
-            case ProgramEvent.CallEnded ended -> callEnded(state, ended);
+            case ProgramEvent.TurnEnded ended -> applyTurnEnded(state, ended);
+            case ProgramEvent.TurnLost lost -> state.withUsage(state.usage().withLostTurn(lost.tokens()));
+            case ProgramEvent.CallIntended intended -> applyCallIntended(state, intended.callId());
+            case ProgramEvent.CallEnded ended -> applyCallEnded(state, ended);
             case ProgramEvent.MessageArrived message -> state.withMessage(message.key(), message.text());
             case ProgramEvent.Stopped stopped -> state.withEnd(stopped.end(), stopped.detail());
         };
-        return settle(changed);
+        return executeInternalActions(changed);
     }
 
     /**
@@ -111,7 +111,7 @@
         if (state.hasEnded()) {
             return List.of();
         }
-        return limit(state, nowMillis)
+        return exceededLimit(state, nowMillis)
                 .map(List::of)
                 .orElseGet(() -> state.agents().values().stream()
                         .flatMap(agent -> nextStep(agent).stream())
@@ -126,7 +126,7 @@
      * @return the call, or empty if it is not the first pending action of an agent
      */
     public static Optional<PendingAction> findPendingCall(ProgramState state, String callId) {
-        return owner(state, callId).map(agent -> agent.pending().getFirst());
+        return findCallingAgent(state, callId).map(agent -> agent.pending().getFirst());
     }
 
     /**
@@ -139,7 +139,7 @@
         return call.tool() + " " + call.arguments();
     }
 
-    private static Optional<ProgramStep> limit(ProgramState state, long nowMillis) {
+    private static Optional<ProgramStep> exceededLimit(ProgramState state, long nowMillis) {
         var budget = state.budget();
         var usage = state.usage();
         if (nowMillis - state.startedMillis() >= budget.seconds() * 1000L) {
@@ -148,15 +148,15 @@
         if (usage.repeats() >= budget.repeats()) {
             return Optional.of(new ProgramStep.Stop(ProgramEnd.LOOP, usage.repeats() + " times " + usage.lastCall()));
         }
-        boolean wantsTurn = state.agents().values().stream().anyMatch(AgentState::thinking);
-        if (wantsTurn && (usage.turns() >= budget.turns() || usage.tokens() >= budget.tokens())) {
+        boolean needsTurn = state.agents().values().stream().anyMatch(AgentState::thinking);
+        if (needsTurn && (usage.turns() >= budget.turns() || usage.tokens() >= budget.tokens())) {
             return Optional.of(new ProgramStep.Stop(
                     ProgramEnd.BUDGET_SPENT, usage.turns() + " turns, " + usage.tokens() + " tokens"));
         }
-        boolean wantsCall = state.agents().values().stream()
+        boolean needsCall = state.agents().values().stream()
                 .flatMap(agent -> agent.pending().stream().limit(1))
                 .anyMatch(pending -> pending.action() instanceof Action.CallTool && !pending.intended());
-        if (wantsCall && usage.calls() >= budget.calls()) {
+        if (needsCall && usage.calls() >= budget.calls()) {
             return Optional.of(new ProgramStep.Stop(ProgramEnd.BUDGET_SPENT, usage.calls() + " calls"));
         }
         return Optional.empty();
@@ -175,7 +175,7 @@
                 : Optional.empty();
     }
 
-    private static ProgramState turnEnded(ProgramState state, ProgramEvent.TurnEnded ended) {
+    private static ProgramState applyTurnEnded(ProgramState state, ProgramEvent.TurnEnded ended) {
         AgentState agent = state.agents().get(ended.path());
         if (agent == null || !agent.thinking() || agent.turns() != ended.turn()) {
             return state;
@@ -185,14 +185,14 @@
                 .mapToObj(i -> new PendingAction(
                         state.id() + "/" + ended.path() + "/" + ended.turn() + "/" + i, actions.get(i), false, null))
                 .toList();
-        return state.withUsage(state.usage().turn(ended.tokens()))
-                .withAgent(agent.said(new HistoryEntry(HistoryEntry.Kind.MODEL, ended.text()))
+        return state.withUsage(state.usage().withTurn(ended.tokens()))
+                .withAgent(agent.withHistoryEntry(new HistoryEntry(HistoryEntry.Kind.MODEL, ended.text()))
                         .withTurn()
                         .withPending(pending));
     }
 
-    private static ProgramState callIntended(ProgramState state, String callId) {
-        return owner(state, callId)
+    private static ProgramState applyCallIntended(ProgramState state, String callId) {
+        return findCallingAgent(state, callId)
                 .map(agent -> {
                     List<PendingAction> pending = new ArrayList<>(agent.pending());
                     pending.set(0, pending.getFirst().asIntended());
@@ -201,19 +201,22 @@
                 .orElse(state);
     }
 
-    private static ProgramState callEnded(ProgramState state, ProgramEvent.CallEnded ended) {
-        return owner(state, ended.callId())
+    private static ProgramState applyCallEnded(ProgramState state, ProgramEvent.CallEnded ended) {
+        return findCallingAgent(state, ended.callId())
                 .map(agent -> {
                     var call = (Action.CallTool) agent.pending().getFirst().action();
                     String text = call.tool() + " " + ended.outcome() + " " + ended.answer();
-                    ProgramState after = state.withUsage(state.usage().call(identity(call)))
-                            .withAgent(agent.withoutHead().said(new HistoryEntry(HistoryEntry.Kind.TOOL, text)));
-                    return ended.outcome() == CallOutcome.OUTCOME_UNKNOWN ? after.withUnknown(identity(call)) : after;
+                    ProgramState after = state.withUsage(state.usage().withCall(identity(call)))
+                            .withAgent(agent.withoutFirstPending()
+                                    .withHistoryEntry(new HistoryEntry(HistoryEntry.Kind.TOOL, text)));
+                    return ended.outcome() == CallOutcome.OUTCOME_UNKNOWN
+                            ? after.withUnknownOutcome(identity(call))
+                            : after;
                 })
                 .orElse(state);
     }
 
-    private static Optional<AgentState> owner(ProgramState state, String callId) {
+    private static Optional<AgentState> findCallingAgent(ProgramState state, String callId) {
         return state.agents().values().stream()
                 .filter(agent -> !agent.pending().isEmpty()
                         && agent.pending().getFirst().id().equals(callId)
@@ -222,30 +225,32 @@
     }
 
     /** Executes all actions that need no external system, until the state no longer changes. */
-    private static ProgramState settle(ProgramState state) {
-        ProgramState settled = state;
-        for (var next = settleOnce(settled); next.isPresent(); next = settleOnce(settled)) {
-            settled = next.get();
+    private static ProgramState executeInternalActions(ProgramState state) {
+        ProgramState current = state;
+        for (var next = executeNextInternalAction(current);
+                next.isPresent();
+                next = executeNextInternalAction(current)) {
+            current = next.get();
         }
-        return settled;
+        return current;
     }
 
-    private static Optional<ProgramState> settleOnce(ProgramState state) {
+    private static Optional<ProgramState> executeNextInternalAction(ProgramState state) {
         if (state.hasEnded()) {
             return Optional.empty();
         }
         return state.agents().values().stream()
                 .filter(agent -> !agent.pending().isEmpty())
-                .flatMap(agent -> settle(state, agent).stream())
+                .flatMap(agent -> executeInternalAction(state, agent).stream())
                 .findFirst();
     }
 
-    private static Optional<ProgramState> settle(ProgramState state, AgentState agent) {
+    private static Optional<ProgramState> executeInternalAction(ProgramState state, AgentState agent) {
         return switch (agent.pending().getFirst().action()) {
             case Action.CallTool ignored -> Optional.empty();
             case Action.Spawn ignored -> spawnOrJoin(state, agent);
-            case Action.AwaitMessage ignored -> readMessage(state, agent);
-            case Action.End ignored -> Optional.of(end(state, agent));
+            case Action.AwaitMessage ignored -> consumeMessage(state, agent);
+            case Action.End ignored -> Optional.of(endAgent(state, agent));
         };
     }
 
@@ -253,10 +258,10 @@
         List<PendingAction> group = agent.pending().stream()
                 .takeWhile(pending -> pending.action() instanceof Action.Spawn)
                 .toList();
-        Optional<PendingAction> unborn =
+        Optional<PendingAction> notStarted =
                 group.stream().filter(pending -> pending.child() == null).findFirst();
-        if (unborn.isPresent()) {
-            return Optional.of(spawn(state, agent, unborn.get()));
+        if (notStarted.isPresent()) {
+            return Optional.of(spawn(state, agent, notStarted.get()));
         }
         boolean allDone = group.stream()
                 .allMatch(pending -> state.agents().get(pending.child()).done());
@@ -268,7 +273,7 @@
                 agent.pending().subList(group.size(), agent.pending().size()));
         for (PendingAction pending : group) {
             String text = state.agents().get(pending.child()).lastText();
-            joined = joined.said(new HistoryEntry(HistoryEntry.Kind.CHILD, text));
+            joined = joined.withHistoryEntry(new HistoryEntry(HistoryEntry.Kind.CHILD, text));
         }
         return state.withAgent(joined);
     }
@@ -280,30 +285,31 @@
                     ProgramEnd.BUDGET_SPENT, "sub-agents: depth " + budget.depth() + ", children " + budget.children());
         }
         var spawn = (Action.Spawn) pending.action();
-        String path = agent.path() + "." + childrenOf(state, agent.path()).count();
+        String path = agent.path() + "." + childPaths(state, agent.path()).count();
         List<PendingAction> actions = agent.pending().stream()
                 .map(each -> each.id().equals(pending.id()) ? each.withChild(path) : each)
                 .toList();
         return state.withAgent(agent.withPending(actions))
                 .withAgent(newAgent(path, spawn.agent(), spawn.prompt()))
-                .withUsage(state.usage().child());
+                .withUsage(state.usage().withChild());
     }
 
-    private static Stream<String> childrenOf(ProgramState state, String path) {
+    private static Stream<String> childPaths(ProgramState state, String path) {
         return state.agents().keySet().stream()
                 .filter(other -> other.startsWith(path + ".") && other.lastIndexOf('.') == path.length());
     }
 
-    private static Optional<ProgramState> readMessage(ProgramState state, AgentState agent) {
+    private static Optional<ProgramState> consumeMessage(ProgramState state, AgentState agent) {
         return state.messages().values().stream()
                 .skip(state.consumed())
                 .findFirst()
                 .map(text -> state.withMessageRead()
-                        .withAgent(agent.withoutHead().said(new HistoryEntry(HistoryEntry.Kind.MESSAGE, text))));
+                        .withAgent(agent.withoutFirstPending()
+                                .withHistoryEntry(new HistoryEntry(HistoryEntry.Kind.MESSAGE, text))));
     }
 
-    private static ProgramState end(ProgramState state, AgentState agent) {
-        ProgramState after = state.withAgent(agent.ended());
+    private static ProgramState endAgent(ProgramState state, AgentState agent) {
+        ProgramState after = state.withAgent(agent.asEnded());
         return agent.path().equals(ProgramState.ROOT) ? after.withEnd(ProgramEnd.COMPLETE, "") : after;
     }
 
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/Usage.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/Usage.java
@@ -14,19 +14,19 @@
     /** The usage of a program that has just started. */
     public static final Usage NONE = new Usage(0, 0, 0, 0, "", 0);
 
-    Usage turn(int spent) {
-        return new Usage(tokens + spent, turns + 1, calls, children, lastCall, repeats);
+    Usage withTurn(int turnTokens) {
+        return new Usage(tokens + turnTokens, turns + 1, calls, children, lastCall, repeats);
     }
 
-    Usage lost(int spent) {
-        return new Usage(tokens + spent, turns, calls, children, lastCall, repeats);
+    Usage withLostTurn(int turnTokens) {
+        return new Usage(tokens + turnTokens, turns, calls, children, lastCall, repeats);
     }
 
-    Usage call(String call) {
+    Usage withCall(String call) {
         return new Usage(tokens, turns, calls + 1, children, call, call.equals(lastCall) ? repeats + 1 : 1);
     }
 
-    Usage child() {
+    Usage withChild() {
         return new Usage(tokens, turns, calls, children + 1, lastCall, repeats);
     }
 }
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/FrameLinks.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/FrameLinks.java
@@ -36,9 +36,9 @@
     private static final int MAX_UNSENT_BYTES = 16 << 20;
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
     /** Delay of an acknowledgement, so that one acknowledgement covers several frames. */
-    private static final long ACKNOWLEDGE_MILLIS = 300;
+    private static final long ACKNOWLEDGEMENT_DELAY_MILLIS = 300;
     /** Time without an acknowledgement after which a connection is replaced. */
-    private static final long SILENT_MILLIS = 1000;
+    private static final long ACKNOWLEDGEMENT_TIMEOUT_MILLIS = 1000;
 
     private final Channel listener;
     private final Bootstrap outbound;
@@ -71,7 +71,7 @@
             protected void initChannel(Channel channel) {
                 channel.pipeline()
                         .addLast(new LengthFieldPrepender(LENGTH_BYTES))
-                        .addLast(new Acknowledgements());
+                        .addLast(new AcknowledgementTracker());
             }
         });
     }
@@ -94,8 +94,10 @@
     public void send(String address, byte[] frame) {
         ChannelFuture connection = connections.compute(
                 address,
-                (any, known) ->
-                        known != null && (!known.isDone() || known.channel().isActive()) ? known : connect(address));
+                (any, existing) -> existing != null
+                                && (!existing.isDone() || existing.channel().isActive())
+                        ? existing
+                        : connect(address));
         if (connection.isSuccess()) {
             write(address, connection.channel(), frame);
         } else {
@@ -114,16 +116,16 @@
      * @param address the peer's link address, host and port
      */
     public void reset(String address) {
-        ChannelFuture known = connections.remove(address);
-        if (known != null) {
-            known.channel().close();
+        ChannelFuture existing = connections.remove(address);
+        if (existing != null) {
+            existing.channel().close();
         }
     }
 
     @Override
     public void close() {
         listener.close().syncUninterruptibly();
-        connections.values().forEach(known -> known.channel().close());
+        connections.values().forEach(connection -> connection.channel().close());
     }
 
     private ChannelFuture connect(String address) {
@@ -138,8 +140,8 @@
             reset(address);
             return;
         }
-        Acknowledgements acknowledgements = channel.pipeline().get(Acknowledgements.class);
-        if (acknowledgements != null && acknowledgements.missing(channel)) {
+        AcknowledgementTracker tracker = channel.pipeline().get(AcknowledgementTracker.class);
+        if (tracker != null && tracker.isOverdueOnWrite(channel)) {
             LOG.log(
                     Logger.Level.INFO,
                     () -> LogLine.of("link_silent").with("to", address).toString());
@@ -151,20 +153,20 @@
     }
 
     /** Tracks the acknowledgements received on an outgoing connection. */
-    private static final class Acknowledgements extends ChannelInboundHandlerAdapter {
+    private static final class AcknowledgementTracker extends ChannelInboundHandlerAdapter {
         private static final long NONE = Long.MIN_VALUE;
 
         private volatile long unacknowledgedSince = NONE;
 
         /** Records a write and returns whether the acknowledgement of an earlier write is overdue. */
-        private boolean missing(Channel channel) {
+        private boolean isOverdueOnWrite(Channel channel) {
             long now = channel.eventLoop().ticker().nanoTime();
             long since = unacknowledgedSince;
             if (since == NONE) {
                 unacknowledgedSince = now;
                 return false;
             }
-            return now - since > TimeUnit.MILLISECONDS.toNanos(SILENT_MILLIS);
+            return now - since > TimeUnit.MILLISECONDS.toNanos(ACKNOWLEDGEMENT_TIMEOUT_MILLIS);
         }
 
         @Override
@@ -189,7 +191,7 @@
     /** Passes received frames on. A malformed frame closes only its own connection. */
     private static final class Receiver extends SimpleChannelInboundHandler<ByteBuf> {
         private final Consumer<byte[]> receiver;
-        private boolean acknowledging;
+        private boolean acknowledgementScheduled;
 
         private Receiver(Consumer<byte[]> receiver) {
             this.receiver = receiver;
@@ -199,15 +201,19 @@
         protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
             byte[] bytes = new byte[frame.readableBytes()];
             frame.readBytes(bytes);
-            if (!acknowledging) {
-                acknowledging = true;
-                context.executor().schedule(() -> acknowledge(context), ACKNOWLEDGE_MILLIS, TimeUnit.MILLISECONDS);
+            if (!acknowledgementScheduled) {
+                acknowledgementScheduled = true;
+                context.executor()
+                        .schedule(
+                                () -> sendAcknowledgement(context),
+                                ACKNOWLEDGEMENT_DELAY_MILLIS,
+                                TimeUnit.MILLISECONDS);
             }
             receiver.accept(bytes);
         }
 
-        private void acknowledge(ChannelHandlerContext context) {
-            acknowledging = false;
+        private void sendAcknowledgement(ChannelHandlerContext context) {
+            acknowledgementScheduled = false;
             context.writeAndFlush(Unpooled.wrappedBuffer(new byte[] {1}));
         }
 
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpClient.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpClient.java
@@ -34,11 +34,11 @@
 public final class HttpClient {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
-    private static final int MAX_ANSWER_BYTES = 4 << 20;
-    private static final int KEPT_PER_ADDRESS = 64;
+    private static final int MAX_RESPONSE_BYTES = 4 << 20;
+    private static final int MAX_IDLE_PER_ADDRESS = 64;
 
     private final Bootstrap bootstrap;
-    private final Map<String, Deque<Channel>> kept = new ConcurrentHashMap<>();
+    private final Map<String, Deque<Channel>> idleConnections = new ConcurrentHashMap<>();
 
     /**
      * Creates a client.
@@ -61,33 +61,33 @@
      * @return the response, whatever its status; fails with {@link HttpException}
      */
     public CompletableFuture<HttpClientResponse> send(HttpRequestSpec request) {
-        return open(request, null).response();
+        return startAttempt(request, null).response();
     }
 
     /**
      * Sends a request and streams the response body if the status is below 300.
      *
      * @param request the request
-     * @param pieces receives the chunks of the body on a network thread
+     * @param chunks receives the chunks of the body on a network thread
      * @return the call in progress
      */
-    public HttpCall stream(HttpRequestSpec request, Consumer<byte[]> pieces) {
-        return open(request, pieces);
+    public HttpCall stream(HttpRequestSpec request, Consumer<byte[]> chunks) {
+        return startAttempt(request, chunks);
     }
 
-    private HttpCall open(HttpRequestSpec request, Consumer<byte[]> pieces) {
-        Attempt attempt = new Attempt(request, pieces);
-        Channel channel = request.reuseConnection() ? takeKept(request.address()) : null;
+    private HttpCall startAttempt(HttpRequestSpec request, Consumer<byte[]> chunks) {
+        Attempt attempt = new Attempt(request, chunks);
+        Channel channel = request.reuseConnection() ? acquireIdle(request.address()) : null;
         if (channel != null) {
             attempt.start(channel);
         } else {
             attempt.connect();
         }
-        return new HttpCall(attempt.answer, attempt::cancel);
+        return new HttpCall(attempt.response, attempt::cancel);
     }
 
-    private Channel takeKept(String address) {
-        Deque<Channel> channels = kept.get(address);
+    private Channel acquireIdle(String address) {
+        Deque<Channel> channels = idleConnections.get(address);
         Channel channel = channels == null ? null : channels.pollLast();
         while (channel != null && !channel.isActive()) {
             channel = channels.pollLast();
@@ -95,9 +95,9 @@
         return channel;
     }
 
-    private void keep(String address, Channel channel) {
-        Deque<Channel> channels = kept.computeIfAbsent(address, any -> new ConcurrentLinkedDeque<>());
-        if (channels.size() < KEPT_PER_ADDRESS && channel.isActive()) {
+    private void release(String address, Channel channel) {
+        Deque<Channel> channels = idleConnections.computeIfAbsent(address, any -> new ConcurrentLinkedDeque<>());
+        if (channels.size() < MAX_IDLE_PER_ADDRESS && channel.isActive()) {
             channels.addLast(channel);
         } else {
             channel.close();
@@ -111,14 +111,14 @@
 
     private final class Attempt {
         private final HttpRequestSpec request;
-        private final Consumer<byte[]> pieces;
-        private final CompletableFuture<HttpClientResponse> answer = new CompletableFuture<>();
+        private final Consumer<byte[]> chunks;
+        private final CompletableFuture<HttpClientResponse> response = new CompletableFuture<>();
         private volatile Channel channel;
         private volatile boolean cancelled;
 
-        private Attempt(HttpRequestSpec request, Consumer<byte[]> pieces) {
+        private Attempt(HttpRequestSpec request, Consumer<byte[]> chunks) {
             this.request = request;
-            this.pieces = pieces;
+            this.chunks = chunks;
         }
 
         private void connect() {
@@ -130,21 +130,21 @@
                         fail(false, "connection failed: " + done.cause().getMessage());
                     }
                 });
-            } catch (RuntimeException fault) {
-                fail(false, "connection failed: " + fault.getMessage());
+            } catch (RuntimeException e) {
+                fail(false, "connection failed: " + e.getMessage());
             }
         }
 
-        private void start(Channel open) {
-            channel = open;
+        private void start(Channel openChannel) {
+            channel = openChannel;
             if (cancelled) {
-                open.close();
+                openChannel.close();
                 fail(false, "request cancelled before it was sent");
                 return;
             }
-            open.eventLoop().execute(() -> {
-                open.pipeline().addLast(new AnswerHandler(this));
-                if (!open.isActive()) {
+            openChannel.eventLoop().execute(() -> {
+                openChannel.pipeline().addLast(new ResponseHandler(this));
+                if (!openChannel.isActive()) {
                     fail(false, "connection closed before the request was sent");
                     return;
                 }
@@ -156,54 +156,58 @@
                 message.headers()
                         .set(HttpHeaderNames.HOST, request.address())
                         .setInt(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
-                open.writeAndFlush(message);
+                openChannel.writeAndFlush(message);
             });
         }
 
         private void cancel() {
             cancelled = true;
-            Channel open = channel;
-            if (open != null) {
-                open.close();
+            Channel openChannel = channel;
+            if (openChannel != null) {
+                openChannel.close();
             }
         }
 
-        private void fail(boolean sent, String reason) {
-            answer.completeExceptionally(new HttpException(request.address(), sent, reason));
+        private void fail(boolean possiblySent, String reason) {
+            response.completeExceptionally(new HttpException(request.address(), possiblySent, reason));
         }
     }
 
-    private final class AnswerHandler extends SimpleChannelInboundHandler<HttpObject> {
+    private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
         private final Attempt attempt;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private final Map<String, String> headers = new HashMap<>();
-        private io.netty.util.concurrent.Future<?> watchdog;
+        private io.netty.util.concurrent.Future<?> idleCheck;
         private long lastByteNanos;
         private int status;
         private boolean keepAlive;
 
-        private AnswerHandler(Attempt attempt) {
+        private ResponseHandler(Attempt attempt) {
             this.attempt = attempt;
         }
 
         @Override
         public void handlerAdded(ChannelHandlerContext context) {
-            Duration silence = attempt.request.idleTimeout();
+            Duration idleTimeout = attempt.request.idleTimeout();
             lastByteNanos = context.executor().ticker().nanoTime();
-            long period = Math.max(1, silence.toMillis() / 4);
-            watchdog = context.executor()
-                    .scheduleAtFixedRate(() -> checkSilence(context, silence), period, period, TimeUnit.MILLISECONDS);
+            long periodMillis = Math.max(1, idleTimeout.toMillis() / 4);
+            idleCheck = context.executor()
+                    .scheduleAtFixedRate(
+                            () -> checkIdleTimeout(context, idleTimeout),
+                            periodMillis,
+                            periodMillis,
+                            TimeUnit.MILLISECONDS);
         }
 
         @Override
         public void handlerRemoved(ChannelHandlerContext context) {
-            watchdog.cancel(false);
+            idleCheck.cancel(false);
         }
 
         /** Fails the request on a stalled connection, which TCP would report only after many minutes. */
-        private void checkSilence(ChannelHandlerContext context, Duration silence) {
-            if (context.executor().ticker().nanoTime() - lastByteNanos > silence.toNanos()) {
-                attempt.fail(true, "no data received for " + silence.toMillis() + " ms");
+        private void checkIdleTimeout(ChannelHandlerContext context, Duration idleTimeout) {
+            if (context.executor().ticker().nanoTime() - lastByteNanos > idleTimeout.toNanos()) {
+                attempt.fail(true, "no data received for " + idleTimeout.toMillis() + " ms");
                 context.close();
             }
         }
@@ -218,37 +222,37 @@
                         .forEach(header -> headers.put(header.getKey().toLowerCase(Locale.ROOT), header.getValue()));
             }
             if (message instanceof HttpContent content) {
-                take(context, content);
+                receiveContent(context, content);
             }
             if (message instanceof LastHttpContent) {
-                finish(context);
+                completeResponse(context);
             }
         }
 
-        private void take(ChannelHandlerContext context, HttpContent content) {
+        private void receiveContent(ChannelHandlerContext context, HttpContent content) {
             byte[] bytes = new byte[content.content().readableBytes()];
             content.content().readBytes(bytes);
-            if (attempt.pieces != null && status < 300) {
+            if (attempt.chunks != null && status < 300) {
                 if (bytes.length > 0) {
-                    attempt.pieces.accept(bytes);
+                    attempt.chunks.accept(bytes);
                 }
                 return;
             }
             body.writeBytes(bytes);
-            if (body.size() > MAX_ANSWER_BYTES) {
-                attempt.fail(true, "response body larger than " + MAX_ANSWER_BYTES + " bytes");
+            if (body.size() > MAX_RESPONSE_BYTES) {
+                attempt.fail(true, "response body larger than " + MAX_RESPONSE_BYTES + " bytes");
                 context.close();
             }
         }
 
-        private void finish(ChannelHandlerContext context) {
+        private void completeResponse(ChannelHandlerContext context) {
             context.pipeline().remove(this);
             if (keepAlive && attempt.request.reuseConnection()) {
-                keep(attempt.request.address(), context.channel());
+                release(attempt.request.address(), context.channel());
             } else {
                 context.close();
             }
-            attempt.answer.complete(new HttpClientResponse(status, Map.copyOf(headers), body.toByteArray()));
+            attempt.response.complete(new HttpClientResponse(status, Map.copyOf(headers), body.toByteArray()));
         }
 
         @Override
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpException.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpException.java
@@ -5,11 +5,11 @@
 
 /** Thrown if an HTTP request ends without a complete response. */
 public final class HttpException extends StepException {
-    private final boolean sent;
+    private final boolean possiblySent;
 
-    HttpException(String peer, boolean sent, String message) {
+    HttpException(String peer, boolean possiblySent, String message) {
         super(Step.CALL, peer, message);
-        this.sent = sent;
+        this.possiblySent = possiblySent;
     }
 
     /**
@@ -18,6 +18,6 @@
      * @return false if the request was certainly not sent
      */
     public boolean isPossiblySent() {
-        return sent;
+        return possiblySent;
     }
 }
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpExchange.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpExchange.java
@@ -64,23 +64,23 @@
      * Returns a query parameter.
      *
      * @param name the name of the parameter
-     * @param fallback the value to return if the parameter is absent
+     * @param defaultValue the value to return if the parameter is absent
      * @return the first value of the parameter, decoded
      */
-    public String queryParameter(String name, String fallback) {
+    public String queryParameter(String name, String defaultValue) {
         Map<String, List<String>> parameters = target.parameters();
-        return parameters.containsKey(name) ? parameters.get(name).getFirst() : fallback;
+        return parameters.containsKey(name) ? parameters.get(name).getFirst() : defaultValue;
     }
 
     /**
      * Returns a header of the request.
      *
      * @param name the name of the header, in any case
-     * @param fallback the value to return if the header is absent
+     * @param defaultValue the value to return if the header is absent
      * @return the first value of the header
      */
-    public String header(String name, String fallback) {
-        return headers.get(name, fallback);
+    public String header(String name, String defaultValue) {
+        return headers.get(name, defaultValue);
     }
 
     /**
@@ -162,15 +162,15 @@
      * Starts a streamed response with status 200.
      *
      * @param contentType the content type of the body
-     * @param more additional headers
+     * @param additionalHeaders additional headers
      */
-    public void beginStream(String contentType, Map<String, String> more) {
+    public void beginStream(String contentType, Map<String, String> additionalHeaders) {
         var response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         response.headers()
                 .set(HttpHeaderNames.CONTENT_TYPE, contentType)
                 .set(HttpHeaderNames.CACHE_CONTROL, HttpHeaderValues.NO_CACHE)
                 .set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-        more.forEach((name, value) -> response.headers().set(name, value));
+        additionalHeaders.forEach((name, value) -> response.headers().set(name, value));
         channel.writeAndFlush(response);
     }
 
@@ -217,7 +217,7 @@
         channel.closeFuture().addListener(closed -> task.run());
     }
 
-    boolean finished() {
+    boolean isFinished() {
         return ended.get();
     }
 }
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpRequestSpec.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpRequestSpec.java
@@ -15,7 +15,7 @@
  */
 public record HttpRequestSpec(
         String address, String method, String target, byte[] body, Duration idleTimeout, boolean reuseConnection) {
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY_BODY = {};
 
     /**
      * Creates a request without a body that may use a pooled connection.
@@ -23,10 +23,10 @@
      * @param address the host and port of the server
      * @param method the HTTP method
      * @param target the path and query
-     * @param silence the maximum time without received data
+     * @param idleTimeout the maximum time without received data
      * @return the request
      */
-    public static HttpRequestSpec of(String address, String method, String target, Duration silence) {
-        return new HttpRequestSpec(address, method, target, NOTHING, silence, true);
+    public static HttpRequestSpec of(String address, String method, String target, Duration idleTimeout) {
+        return new HttpRequestSpec(address, method, target, EMPTY_BODY, idleTimeout, true);
     }
 }
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpServer.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpServer.java
@@ -19,7 +19,7 @@
 public final class HttpServer implements AutoCloseable {
     private static final Logger LOG = System.getLogger(HttpServer.class.getName());
     private static final int MAX_BODY_BYTES = 1 << 20;
-    private static final int IDLE_SECONDS = 120;
+    private static final int IDLE_TIMEOUT_SECONDS = 120;
 
     private final HttpHandler handler;
     private final int maxConnections;
@@ -74,7 +74,7 @@
             connections.incrementAndGet();
             channel.closeFuture().addListener(closed -> connections.decrementAndGet());
             channel.pipeline()
-                    .addLast(new IdleStateHandler(IDLE_SECONDS, 0, 0))
+                    .addLast(new IdleStateHandler(IDLE_TIMEOUT_SECONDS, 0, 0))
                     .addLast(new HttpServerCodec())
                     .addLast(new HttpObjectAggregator(MAX_BODY_BYTES))
                     .addLast(new RequestHandler());
@@ -86,7 +86,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-            if (current != null && !current.finished()) {
+            if (current != null && !current.isFinished()) {
                 // Pipelining is not supported, since responses could be matched to the wrong request.
                 context.close();
                 return;
@@ -113,8 +113,8 @@
 
         @Override
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
-            boolean waitsForUs = current != null && !current.finished();
-            if (event instanceof IdleStateEvent && !waitsForUs) {
+            boolean awaitsResponse = current != null && !current.isFinished();
+            if (event instanceof IdleStateEvent && !awaitsResponse) {
                 context.close();
             }
         }
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/LineSplitter.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/LineSplitter.java
@@ -7,7 +7,7 @@
 /** Splits a streamed body into lines. Not thread-safe. */
 public final class LineSplitter {
     private final Consumer<String> lines;
-    private final ByteArrayOutputStream begun = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream partialLine = new ByteArrayOutputStream();
 
     /**
      * Creates a splitter.
@@ -20,7 +20,7 @@
 
     /** Discards an incomplete line, for use after a lost connection. */
     public void reset() {
-        begun.reset();
+        partialLine.reset();
     }
 
     /**
@@ -31,11 +31,11 @@
     public void append(byte[] bytes) {
         for (byte each : bytes) {
             if (each == '\n') {
-                String line = begun.toString(StandardCharsets.UTF_8);
-                begun.reset();
+                String line = partialLine.toString(StandardCharsets.UTF_8);
+                partialLine.reset();
                 lines.accept(line);
             } else {
-                begun.write(each);
+                partialLine.write(each);
             }
         }
     }
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/NetworkLoop.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/NetworkLoop.java
@@ -52,9 +52,9 @@
     private static void runSafely(Runnable task) {
         try {
             task.run();
-        } catch (RuntimeException | AssertionError fault) {
+        } catch (RuntimeException | AssertionError e) {
             // A failing task must not affect the other requests of the node.
-            LOG.log(Logger.Level.ERROR, LogLine.of("loop_task_failed").toString(), fault);
+            LOG.log(Logger.Level.ERROR, LogLine.of("loop_task_failed").toString(), e);
         }
     }
 }
--- a/parsleydrift-wire/src/test/java/org/parsleydrift/wire/FrameLinksTest.java
+++ b/parsleydrift-wire/src/test/java/org/parsleydrift/wire/FrameLinksTest.java
@@ -23,16 +23,16 @@
 
 /** Tests frame connections that stall or are reset by the peer. */
 public class FrameLinksTest {
-    private static final int PATIENCE_SECONDS = 20;
-    private static final int PAUSE_MILLIS = 100;
+    private static final int TIMEOUT_SECONDS = 20;
+    private static final int POLL_MILLIS = 100;
 
     /** A TCP proxy that can stall all connections accepted so far. Later connections work. */
-    private static final class SilencingProxy implements AutoCloseable {
+    private static final class StallingProxy implements AutoCloseable {
         private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         private final int target;
         private final AtomicInteger generation = new AtomicInteger();
 
-        private SilencingProxy(int target) throws IOException {
+        private StallingProxy(int target) throws IOException {
             this.target = target;
             start(this::accept);
         }
@@ -41,7 +41,7 @@
             return "127.0.0.1:" + listener.getLocalPort();
         }
 
-        private void silence() {
+        private void stallConnections() {
             generation.incrementAndGet();
         }
 
@@ -50,9 +50,9 @@
                 while (true) {
                     Socket in = listener.accept();
                     Socket out = new Socket(InetAddress.getLoopbackAddress(), target);
-                    int mine = generation.get();
-                    start(() -> pass(in, out, mine));
-                    start(() -> pass(out, in, mine));
+                    int connectionGeneration = generation.get();
+                    start(() -> forward(in, out, connectionGeneration));
+                    start(() -> forward(out, in, connectionGeneration));
                 }
             } catch (IOException closed) {
                 // The test has ended.
@@ -60,13 +60,13 @@
             }
         }
 
-        private void pass(Socket from, Socket to, int mine) {
+        private void forward(Socket from, Socket to, int connectionGeneration) {
             try {
                 InputStream in = from.getInputStream();
                 OutputStream out = to.getOutputStream();
                 byte[] bytes = new byte[4096];
                 for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
-                    if (mine == generation.get()) {
+                    if (connectionGeneration == generation.get()) {
                         out.write(bytes, 0, count);
                     }
                 }
@@ -92,20 +92,20 @@
      * Guards against a peer that stays unreachable because the connection in one direction has stalled without a reset.
      */
     @Test
-    public void aSilentConnectionIsReplaced() throws Exception {
+    public void stalledConnectionIsReplaced() throws Exception {
         BlockingQueue<String> received = new LinkedBlockingQueue<>();
         NetworkThreads threads = new NetworkThreads("links", 1);
         try (FrameLinks receiver =
                         new FrameLinks(threads, "127.0.0.1", 0, frame -> received.add(new String(frame, UTF_8)));
                 FrameLinks sender = new FrameLinks(threads, "127.0.0.1", 0, frame -> {});
-                SilencingProxy proxy = new SilencingProxy(receiver.port())) {
+                StallingProxy proxy = new StallingProxy(receiver.port())) {
             sender.send(proxy.address(), "first".getBytes(UTF_8));
-            assertEquals(received.poll(PATIENCE_SECONDS, TimeUnit.SECONDS), "first");
-            proxy.silence();
+            assertEquals(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), "first");
+            proxy.stallConnections();
             String next = null;
-            for (int tries = 0; next == null && tries < PATIENCE_SECONDS * 10; tries++) {
+            for (int tries = 0; next == null && tries < TIMEOUT_SECONDS * 10; tries++) {
                 sender.send(proxy.address(), "next".getBytes(UTF_8));
-                next = received.poll(PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+                next = received.poll(POLL_MILLIS, TimeUnit.MILLISECONDS);
             }
             assertNotNull(next, "no frame arrived after the connection went silent");
         } finally {
@@ -117,7 +117,7 @@
      * Guards against an unhandled connection reset, for which Netty logs a warning with a stack trace.
      */
     @Test
-    public void aResetByThePeerLeavesNoStackTrace() throws Exception {
+    public void resetByPeerLogsNoStackTrace() throws Exception {
         BlockingQueue<LogRecord> warnings = new LinkedBlockingQueue<>();
         Handler collector = new Handler() {
             @Override
@@ -144,9 +144,9 @@
                 connection.setSoLinger(true, 0);
             }
             // The sender must be idle to read the reset; otherwise a write fails first.
-            peer.setSoTimeout(PAUSE_MILLIS);
+            peer.setSoTimeout(POLL_MILLIS);
             Socket next = acceptOrNull(peer);
-            for (int tries = 0; next == null && tries < PATIENCE_SECONDS * 10; tries++) {
+            for (int tries = 0; next == null && tries < TIMEOUT_SECONDS * 10; tries++) {
                 sender.send(address, "next".getBytes(UTF_8));
                 next = acceptOrNull(peer);
             }
--- a/parsleydrift-wire/src/test/java/org/parsleydrift/wire/BadInputTest.java
+++ b/parsleydrift-wire/src/test/java/org/parsleydrift/wire/MalformedInputTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.Test;
 
 /** Tests malformed requests and frames and stalled connections on loopback sockets. */
-public class BadInputTest {
+public class MalformedInputTest {
     private NetworkThreads threads;
     private HttpServer server;
     private HttpClient client;
@@ -46,9 +46,10 @@
 
     /** Guards against a malformed or oversized request that stops the server. */
     @Test
-    public void malformedAndOversizeRequestsDisturbNobody() throws IOException {
-        assertTrue(raw("nonsense\r\n\r\n").startsWith("HTTP/1.1 400"));
-        assertTrue(raw("POST / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n").startsWith("HTTP/1.1 413"));
+    public void malformedAndOversizedRequestsAffectNoOthers() throws IOException {
+        assertTrue(sendRawRequest("nonsense\r\n\r\n").startsWith("HTTP/1.1 400"));
+        assertTrue(sendRawRequest("POST / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n")
+                .startsWith("HTTP/1.1 413"));
         HttpClientResponse answer = client.send(HttpRequestSpec.of(address, "GET", "/", Duration.ofSeconds(5)))
                 .join();
         assertEquals(answer.text(), "good");
@@ -56,7 +57,7 @@
 
     /** Guards against a request that hangs on a server that never responds. */
     @Test
-    public void silentConnectionFailsAndNewOnesWork() {
+    public void stalledConnectionFailsAndNewOnesWork() {
         HttpRequestSpec silent = HttpRequestSpec.of(address, "GET", "/silent", Duration.ofMillis(200));
         CompletionException failure = expectThrows(
                 CompletionException.class, () -> client.send(silent).join());
@@ -70,16 +71,16 @@
 
     /** Guards against a failed connection attempt being reported as a request that may have run. */
     @Test
-    public void refusedConnectionIsKnownAsNotSent() {
-        HttpRequestSpec nobody = HttpRequestSpec.of("127.0.0.1:1", "GET", "/", Duration.ofSeconds(2));
+    public void refusedConnectionIsReportedAsNotSent() {
+        HttpRequestSpec unreachable = HttpRequestSpec.of("127.0.0.1:1", "GET", "/", Duration.ofSeconds(2));
         CompletionException failure = expectThrows(
-                CompletionException.class, () -> client.send(nobody).join());
+                CompletionException.class, () -> client.send(unreachable).join());
         assertFalse(((HttpException) failure.getCause()).isPossiblySent());
     }
 
     /** Guards against a malformed or oversized frame that affects other connections. */
     @Test
-    public void badFramesCloseTheirOwnConnectionOnly() throws Exception {
+    public void malformedFramesCloseOnlyTheirConnection() throws Exception {
         LinkedBlockingQueue<String> received = new LinkedBlockingQueue<>();
         try (FrameLinks links = new FrameLinks(threads, "127.0.0.1", 0, bytes -> {
             String text = new String(bytes, StandardCharsets.UTF_8);
@@ -88,14 +89,14 @@
             }
             received.add(text);
         })) {
-            assertEquals(rawFrame(links.port(), new byte[] {0, 0, 0, 3, 'b', 'a', 'd'}), -1);
-            assertEquals(rawFrame(links.port(), new byte[] {0x7f, 0, 0, 0, 1}), -1);
+            assertEquals(sendRawFrame(links.port(), new byte[] {0, 0, 0, 3, 'b', 'a', 'd'}), -1);
+            assertEquals(sendRawFrame(links.port(), new byte[] {0x7f, 0, 0, 0, 1}), -1);
             links.send("127.0.0.1:" + links.port(), "good".getBytes(StandardCharsets.UTF_8));
             assertEquals(received.poll(5, TimeUnit.SECONDS), "good");
         }
     }
 
-    private String raw(String request) throws IOException {
+    private String sendRawRequest(String request) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.port())) {
             socket.setSoTimeout(5000);
             socket.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
@@ -105,7 +106,7 @@
         }
     }
 
-    private static int rawFrame(int port, byte[] bytes) throws IOException {
+    private static int sendRawFrame(int port, byte[] bytes) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(5000);
             socket.getOutputStream().write(bytes);
