--- a/parsleydrift-logging/src/test/java/org/parsleydrift/logging/LogRingTest.java
+++ b/parsleydrift-logging/src/test/java/org/parsleydrift/logging/LogRingTest.java
@@ -32,17 +32,17 @@
         scheduler.advance(Duration.ofSeconds(2));
         ring.drain();
         for (int i = 0; i < 1000; i++) {
-            ring.publish(Level.INFO, "Test", "event=storm n=" + i, null);
+            ring.publish(Level.INFO, "Test", "event=burst n=" + i, null);
         }
         ring.publish(Level.INFO, "Test", "event=rare", null);
         ring.drain();
         scheduler.advance(Duration.ofSeconds(2));
         ring.drain();
-        long kept = countLines(out, "event=storm");
+        long kept = countLines(out, "event=burst");
         assertTrue(kept > 0 && kept < 100, "kept " + kept);
         assertEquals(countLines(out, "event=rare"), 1);
         assertTrue(
-                out.toString(UTF_8).contains("event=log_lines_left_out kind=\"event=storm\" count=" + (1000 - kept)));
+                out.toString(UTF_8).contains("event=log_lines_left_out kind=\"event=burst\" count=" + (1000 - kept)));
     }
 
     /**
--- a/parsleydrift-wire/src/test/java/org/parsleydrift/wire/FrameLinksTest.java
+++ b/parsleydrift-wire/src/test/java/org/parsleydrift/wire/FrameLinksTest.java
@@ -107,7 +107,7 @@
                 sender.send(proxy.address(), "next".getBytes(UTF_8));
                 next = received.poll(POLL_MILLIS, TimeUnit.MILLISECONDS);
             }
-            assertNotNull(next, "no frame arrived after the connection went silent");
+            assertNotNull(next, "no frame arrived after the connection stalled");
         } finally {
             threads.close();
         }
--- a/parsleydrift-wire/src/test/java/org/parsleydrift/wire/MalformedInputTest.java
+++ b/parsleydrift-wire/src/test/java/org/parsleydrift/wire/MalformedInputTest.java
@@ -31,7 +31,7 @@
         threads = new NetworkThreads("test", 2);
         client = new HttpClient(threads);
         server = new HttpServer(threads, "127.0.0.1", 0, 100, exchange -> {
-            if (!"/silent".equals(exchange.path())) {
+            if (!"/unanswered".equals(exchange.path())) {
                 exchange.respond(200, "text/plain", "good", Map.of());
             }
         });
@@ -50,17 +50,17 @@
         assertTrue(sendRawRequest("nonsense\r\n\r\n").startsWith("HTTP/1.1 400"));
         assertTrue(sendRawRequest("POST / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n")
                 .startsWith("HTTP/1.1 413"));
-        HttpClientResponse answer = client.send(HttpRequestSpec.of(address, "GET", "/", Duration.ofSeconds(5)))
+        HttpClientResponse response = client.send(HttpRequestSpec.of(address, "GET", "/", Duration.ofSeconds(5)))
                 .join();
-        assertEquals(answer.text(), "good");
+        assertEquals(response.text(), "good");
     }
 
     /** Guards against a request that hangs on a server that never responds. */
     @Test
     public void stalledConnectionFailsAndNewOnesWork() {
-        HttpRequestSpec silent = HttpRequestSpec.of(address, "GET", "/silent", Duration.ofMillis(200));
+        HttpRequestSpec unanswered = HttpRequestSpec.of(address, "GET", "/unanswered", Duration.ofMillis(200));
         CompletionException failure = expectThrows(
-                CompletionException.class, () -> client.send(silent).join());
+                CompletionException.class, () -> client.send(unanswered).join());
         assertTrue(((HttpException) failure.getCause()).isPossiblySent());
         assertEquals(
                 client.send(HttpRequestSpec.of(address, "GET", "/", Duration.ofSeconds(5)))
@@ -85,7 +85,7 @@
         try (FrameLinks links = new FrameLinks(threads, "127.0.0.1", 0, bytes -> {
             String text = new String(bytes, StandardCharsets.UTF_8);
             if (text.startsWith("bad")) {
-                throw new IllegalArgumentException("no MessagePack");
+                throw new IllegalArgumentException("not MessagePack");
             }
             received.add(text);
         })) {
@@ -100,9 +100,9 @@
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.port())) {
             socket.setSoTimeout(5000);
             socket.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
-            byte[] answer = new byte[64];
-            int length = socket.getInputStream().read(answer);
-            return new String(answer, 0, Math.max(0, length), StandardCharsets.UTF_8);
+            byte[] response = new byte[64];
+            int length = socket.getInputStream().read(response);
+            return new String(response, 0, Math.max(0, length), StandardCharsets.UTF_8);
         }
     }
 
