--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalWriter.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalWriter.java
@@ -16,12 +16,12 @@
 import org.parsleydrift.kernel.platform.StoredObject;
 
 /**
- * Writes the journal of one node incarnation: one segment at a time, each created only if absent. Confined to the
- * node's loop.
+ * Writes the journal of one node incarnation, one segment at a time. Segments are created with a create-if-absent
+ * request. Not thread-safe, confined to the node's event loop.
  *
- * <p>An answer of the platform can be lost after the segment was created. The writer would then see a conflict on its
- * own object, or wait for ever; it reads the object back instead and compares. A seal at that place means that another
- * node took over while this one was paused: every entry fails with {@link FencedException}, once and for good.
+ * <p>If the response of the object store is lost or reports a conflict, the writer reads the object back to find out
+ * whether its own segment was stored. If it finds a seal instead, another node has taken over: the journal is fenced
+ * and all pending and later entries fail with {@link FencedException}.
  */
 public final class JournalWriter {
     private static final Logger LOG = System.getLogger(JournalWriter.class.getName());
@@ -31,26 +31,26 @@
     private final String incarnation;
     private final JournalOptions options;
     private final Consumer<FencedException> onFenced;
-    private final ArrayDeque<JournalEntry> waiting = new ArrayDeque<>();
+    private final ArrayDeque<JournalEntry> pending = new ArrayDeque<>();
     private List<JournalEntry> inFlight = List.of();
     private Duration commitInterval;
-    private long sequence;
+    private long durableSequence;
     private long base = 1;
     private long durableBase = 1;
     private boolean writing;
-    private boolean wakeUpSet;
+    private boolean writeScheduled;
     private long writeStartedNanos;
-    private long lastDurableNanos;
+    private long lastDurableWriteStartNanos;
     private FencedException fenced;
 
     /**
-     * Makes a writer for a new journal.
+     * Creates a writer for a new journal.
      *
-     * @param loop the node's loop
-     * @param store the platform
-     * @param incarnation the owner, a name never used before
-     * @param options how to write
-     * @param onFenced told once if the journal is found sealed
+     * @param loop the node's event loop
+     * @param store the object store
+     * @param incarnation the owner of the journal, a name never used before
+     * @param options the journal settings
+     * @param onFenced called once if the journal is found sealed
      */
     public JournalWriter(
             EventLoop loop,
@@ -64,33 +64,37 @@
         this.options = options;
         this.onFenced = onFenced;
         this.commitInterval = options.commitInterval();
-        this.lastDurableNanos = loop.clock().nanos();
-        this.writeStartedNanos = lastDurableNanos - commitInterval.toNanos();
+        this.lastDurableWriteStartNanos = loop.clock().nanos();
+        this.writeStartedNanos = lastDurableWriteStartNanos - commitInterval.toNanos();
     }
 
     /**
-     * Hands in a record. Records become durable in the order in which they were handed in.
+     * Appends a record. Records become durable in the order in which they were appended.
      *
-     * @param record its bytes
-     * @return the entry
-     * @throws StepException if the record is larger than a segment may be
+     * @param record the encoded record
+     * @return the entry, which has already failed if the journal is fenced
+     * @throws StepException if the record exceeds the maximum segment size
      */
     public JournalEntry append(byte[] record) {
         if (record.length > options.segmentBytes()) {
-            throw new StepException(Step.COMMIT, "self", "record of " + record.length + " bytes");
+            throw new StepException(
+                    Step.COMMIT,
+                    "self",
+                    "journal record of " + record.length + " bytes exceeds the limit of " + options.segmentBytes()
+                            + " bytes");
         }
         JournalEntry entry = new JournalEntry(record);
         if (fenced != null) {
             entry.durable().completeExceptionally(fenced);
             return entry;
         }
-        waiting.add(entry);
-        writeWhenDue();
+        pending.add(entry);
+        scheduleWrite();
         return entry;
     }
 
     /**
-     * Sets the least time between two segment writes, from this node's share of the platform's write rate.
+     * Sets the minimum time between the starts of two segment writes, which limits this node's write rate.
      *
      * @param interval the new interval
      */
@@ -99,84 +103,84 @@
     }
 
     /**
-     * Declares segments below a number superfluous; the next segment carries the number.
+     * Raises the base, the lowest segment needed for recovery. The next segment stores it; a lower value is ignored.
      *
-     * @param newBase the lowest segment still needed
+     * @param newBase the sequence number of the lowest segment still needed
      */
     public void advanceBase(long newBase) {
         base = Math.max(base, newBase);
     }
 
     /**
-     * The base that the last durable segment carries; what lies below may be deleted.
+     * Returns the base stored in the last durable segment. Segments below it may be deleted.
      *
-     * @return the lowest segment that a reader will read
+     * @return the sequence number of the lowest segment that a reader reads, 1 at first
      */
     public long durableBase() {
         return durableBase;
     }
 
     /**
-     * The number of the last durable segment.
+     * Returns the sequence number of the last durable segment.
      *
-     * @return the number, 0 before the first
+     * @return the sequence number, 0 before the first durable segment
      */
     public long durableSequence() {
-        return sequence;
+        return durableSequence;
     }
 
     /**
-     * How long the oldest unfinished write has been under way: the sign of a platform outage.
+     * Returns the age of the segment write in progress. A high age indicates an outage of the object store.
      *
-     * @return the time, zero if nothing is being written
+     * @return the time since the start of the write, zero if no write is in progress
      */
     public Duration inFlightWriteAge() {
         return writing ? Duration.ofNanos(loop.clock().nanos() - writeStartedNanos) : Duration.ZERO;
     }
 
     /**
-     * For how long this incarnation has had no proof that it owns its journal. The answer proves it for the time when
-     * the write began, not for when the answer came.
+     * Returns the time since this incarnation last proved that it owns its journal. A successful write proves ownership
+     * for the time when the write started, not for the time of the response.
      *
-     * @return the time since the start of the last write that became durable
+     * @return the time since the start of the last write that became durable, or since creation of this writer
      */
     public Duration timeSinceDurableWrite() {
-        return Duration.ofNanos(loop.clock().nanos() - lastDurableNanos);
+        return Duration.ofNanos(loop.clock().nanos() - lastDurableWriteStartNanos);
     }
 
     /**
-     * Whether all that was handed in is durable.
+     * Returns whether no appended record is waiting or being written.
      *
-     * @return true if nothing waits
+     * @return true if no write is in progress and none is needed
      */
     public boolean isIdle() {
-        return !writing && waiting.isEmpty();
+        return !writing && pending.isEmpty();
     }
 
     /**
-     * Whether the journal was found sealed.
+     * Returns whether the journal was found sealed.
      *
-     * @return true if this incarnation is over
+     * @return true if this incarnation can no longer write
      */
     public boolean isFenced() {
         return fenced != null;
     }
 
-    private void writeWhenDue() {
-        if (writing || wakeUpSet || waiting.isEmpty() || fenced != null) {
+    private void scheduleWrite() {
+        if (writing || writeScheduled || pending.isEmpty() || fenced != null) {
             return;
         }
-        long waitNanos =
+        long delayNanos =
                 writeStartedNanos + commitInterval.toNanos() - loop.clock().nanos();
-        wakeUpSet = true;
-        loop.schedule(Duration.ofNanos(Math.max(0, waitNanos)), () -> {
-            wakeUpSet = false;
+        writeScheduled = true;
+        loop.schedule(Duration.ofNanos(Math.max(0, delayNanos)), () -> {
+            writeScheduled = false;
             startWrite();
         });
     }
 
     private void startWrite() {
-        if (writing || waiting.isEmpty() || fenced != null) {
+        if (writing || pending.isEmpty() || fenced != null) {
             return;
         }
         inFlight = takeBatch();
@@ -184,7 +188,7 @@
         writeStartedNanos = loop.clock().nanos();
         Segment segment = new Segment(
                 incarnation,
-                sequence + 1,
+                durableSequence + 1,
                 base,
                 inFlight.stream().map(JournalEntry::record).toList(),
                 null);
@@ -194,9 +198,9 @@
     private List<JournalEntry> takeBatch() {
         List<JournalEntry> batch = new ArrayList<>();
         int bytes = 0;
-        while (!waiting.isEmpty()
-                && (batch.isEmpty() || bytes + waiting.peek().record().length <= options.segmentBytes())) {
-            JournalEntry entry = waiting.poll();
+        while (!pending.isEmpty()
+                && (batch.isEmpty() || bytes + pending.peek().record().length <= options.segmentBytes())) {
+            JournalEntry entry = pending.poll();
             bytes += entry.record().length;
             batch.add(entry);
         }
@@ -205,16 +209,16 @@
 
     private void create(Segment segment, byte[] bytes) {
         String key = JournalKeys.segment(incarnation, segment.sequence());
-        bounded(store.create(key, bytes), key)
+        withTimeout(store.create(key, bytes), key)
                 .whenCompleteAsync(
                         (version, failure) -> {
                             if (failure == null) {
-                                finish(segment);
+                                completeWrite(segment);
                                 return;
                             }
                             switch (StoreException.of(failure)) {
                                 case CONFLICT, UNKNOWN -> readBack(segment, bytes);
-                                case REFUSED, ABSENT -> later(() -> create(segment, bytes));
+                                case REFUSED, ABSENT -> retryLater(() -> create(segment, bytes));
                             }
                         },
                         loop);
@@ -222,39 +226,40 @@
 
     private void readBack(Segment segment, byte[] bytes) {
         String key = JournalKeys.segment(incarnation, segment.sequence());
-        bounded(store.read(key), key)
+        withTimeout(store.read(key), key)
                 .whenCompleteAsync(
                         (found, failure) -> {
                             if (failure != null) {
-                                later(() -> readBack(segment, bytes));
+                                retryLater(() -> readBack(segment, bytes));
                             } else if (found.isEmpty()) {
-                                later(() -> create(segment, bytes));
+                                retryLater(() -> create(segment, bytes));
                             } else {
-                                judge(segment, found.get());
+                                resolveExisting(segment, found.get());
                             }
                         },
                         loop);
     }
 
-    private void judge(Segment mine, StoredObject found) {
-        Segment there = Segment.decode(found.value(), found.key());
-        if (there.hasSeal()) {
-            fence(there.seal());
+    private void resolveExisting(Segment segment, StoredObject found) {
+        Segment existing = Segment.decode(found.value(), found.key());
+        if (existing.hasSeal()) {
+            fence(existing.seal());
         } else {
-            // Only the owner and sealers create objects here, and the owner writes one segment at a time: it is ours.
-            finish(mine);
+            // Other nodes create only seals in this journal and the owner has one write in flight, so this is the
+            // segment being written.
+            completeWrite(segment);
         }
     }
 
-    private void finish(Segment segment) {
-        sequence = segment.sequence();
+    private void completeWrite(Segment segment) {
+        durableSequence = segment.sequence();
         durableBase = segment.base();
-        lastDurableNanos = writeStartedNanos;
+        lastDurableWriteStartNanos = writeStartedNanos;
         writing = false;
-        List<JournalEntry> done = inFlight;
+        List<JournalEntry> completed = inFlight;
         inFlight = List.of();
-        done.forEach(entry -> entry.durable().complete(null));
-        writeWhenDue();
+        completed.forEach(entry -> entry.durable().complete(null));
+        scheduleWrite();
     }
 
     private void fence(Seal seal) {
@@ -264,22 +269,22 @@
                 Logger.Level.WARNING,
                 LogLine.of("journal_fenced")
                         .with("journal", incarnation)
-                        .with("sequence", sequence + 1)
+                        .with("sequence", durableSequence + 1)
                         .with("sealed_by", seal.sealedBy())
                         .toString());
-        List<JournalEntry> lost = new ArrayList<>(inFlight);
-        lost.addAll(waiting);
+        List<JournalEntry> failed = new ArrayList<>(inFlight);
+        failed.addAll(pending);
         inFlight = List.of();
-        waiting.clear();
+        pending.clear();
         onFenced.accept(fenced);
-        lost.forEach(entry -> entry.durable().completeExceptionally(fenced));
+        failed.forEach(entry -> entry.durable().completeExceptionally(fenced));
     }
 
-    private void later(Runnable task) {
+    private void retryLater(Runnable task) {
         loop.schedule(options.retryDelay(), task);
     }
 
-    private <T> CompletableFuture<T> bounded(CompletableFuture<T> answer, String key) {
-        return Deadline.withTimeout(loop, answer, options.answerTimeout(), key);
+    private <T> CompletableFuture<T> withTimeout(CompletableFuture<T> response, String key) {
+        return Deadline.withTimeout(loop, response, options.requestTimeout(), key);
     }
 }
--- a/parsleydrift-journal/src/test/java/org/parsleydrift/journal/JournalHistoryTest.java
+++ b/parsleydrift-journal/src/test/java/org/parsleydrift/journal/JournalHistoryTest.java
@@ -16,9 +16,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Checks recorded histories of one owner and several sealers against what a journal promises: what was acknowledged is
- * there, once and in order; there is one seal; nothing stands behind it. The loops take turns on virtual time, so a
- * checker of thread interleavings has nothing to reach here; chance picks the interleaving instead.
+ * Checks random histories of one owner and several sealing nodes against the guarantees of a journal: acknowledged
+ * records are stored exactly once and in order, and the journal ends with its only seal.
  */
 public class JournalHistoryTest {
     private static final int RUNS = 200;
@@ -26,12 +25,11 @@
             new JournalOptions(Duration.ofMillis(10), Duration.ofMillis(200), Duration.ofMillis(20), 700 * 1024);
 
     /**
-     * Symptom: a record is acknowledged and gone after a takeover, or stands twice. Events: answers of the platform are
-     * lost after creates took effect, the owner pauses, two nodes seal at one moment. Cause: an owner that goes on
-     * behind a seal, or takes a lost answer for a failure.
+     * Guards against acknowledged records that are lost or duplicated when responses are lost, the owner is paused and
+     * two nodes seal the journal concurrently.
      */
     @Test
-    public void acknowledgedRecordsAreThereOnceAndInOrder() {
+    public void acknowledgedRecordsAreStoredOnceAndInOrder() {
         IntStream.range(0, RUNS).forEach(this::checkRun);
     }
 
@@ -63,17 +61,17 @@
         var read = new JournalReader(scheduler.newLoop(), store, OPTIONS).read("j");
         scheduler.advance(Duration.ofSeconds(2));
         List<Segment> segments = read.join();
-        List<String> there = segments.stream()
+        List<String> stored = segments.stream()
                 .flatMap(segment -> segment.records().stream())
                 .map(bytes -> new String(bytes, StandardCharsets.UTF_8))
                 .toList();
-        String run = "seed " + seed;
-        assertEquals(there.stream().distinct().count(), there.size(), run);
-        assertTrue(there.containsAll(acknowledged), run);
-        assertEquals(there.stream().filter(acknowledged::contains).toList(), acknowledged, run);
-        assertEquals(segments.stream().filter(Segment::hasSeal).count(), 1, run);
-        assertTrue(segments.getLast().hasSeal(), run);
-        assertEquals(seals.stream().distinct().count(), 1, run);
+        String message = "seed " + seed;
+        assertEquals(stored.stream().distinct().count(), stored.size(), message);
+        assertTrue(stored.containsAll(acknowledged), message);
+        assertEquals(stored.stream().filter(acknowledged::contains).toList(), acknowledged, message);
+        assertEquals(segments.stream().filter(Segment::hasSeal).count(), 1, message);
+        assertTrue(segments.getLast().hasSeal(), message);
+        assertEquals(seals.stream().distinct().count(), 1, message);
     }
 
     private static void seal(
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/DisruptorEventLoop.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/DisruptorEventLoop.java
@@ -9,24 +9,24 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 
-/** An event loop on a Disruptor ring: many producers, one consumer thread that also runs the timers. */
+/** An event loop on a Disruptor ring buffer with multiple producers and one consumer thread, which also runs timers. */
 public final class DisruptorEventLoop implements EventLoop, AutoCloseable {
     private static final Logger LOG = System.getLogger(DisruptorEventLoop.class.getName());
     private static final int RING_SIZE = 1 << 16;
-    private static final long TICK_MILLIS = 2;
-    private static final long CLOSE_WAIT_SECONDS = 2;
+    private static final long TIMER_RESOLUTION_MILLIS = 2;
+    private static final long CLOSE_TIMEOUT_SECONDS = 2;
 
     private final RuntimeClock clock;
     private final Disruptor<Slot> disruptor;
     private final TimerQueue timers = new TimerQueue();
-    private final ArrayDeque<Runnable> local = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> localTasks = new ArrayDeque<>();
     private volatile Thread consumer;
 
     /**
-     * Starts a loop.
+     * Creates and starts an event loop.
      *
-     * @param name the name of its thread
-     * @param clock the clock that it reads
+     * @param name the name of the consumer thread
+     * @param clock the clock of the loop
      */
     public DisruptorEventLoop(String name, RuntimeClock clock) {
         this.clock = clock;
@@ -39,7 +39,7 @@
                     return thread;
                 },
                 ProducerType.MULTI,
-                new TimeoutBlockingWaitStrategy(TICK_MILLIS, TimeUnit.MILLISECONDS));
+                new TimeoutBlockingWaitStrategy(TIMER_RESOLUTION_MILLIS, TimeUnit.MILLISECONDS));
         disruptor.handleEventsWith(new Consumer());
         disruptor.start();
     }
@@ -50,13 +50,13 @@
     }
 
     /**
-     * Hands a task to the loop. A task handed in on the loop's own thread goes to a local queue: if it waited for a
-     * slot in a full ring, the only thread that empties the ring would wait for itself.
+     * Executes a task on the event loop. A task submitted by the consumer thread goes to a local queue, because waiting
+     * for a free slot of the ring buffer would deadlock that thread.
      */
     @Override
     public void execute(Runnable task) {
         if (Thread.currentThread() == consumer) {
-            local.add(task);
+            localTasks.add(task);
         } else {
             disruptor.publishEvent((slot, sequence) -> slot.task = task);
         }
@@ -80,8 +80,8 @@
     @Override
     public void close() {
         try {
-            disruptor.shutdown(CLOSE_WAIT_SECONDS, TimeUnit.SECONDS);
-        } catch (com.lmax.disruptor.TimeoutException late) {
+            disruptor.shutdown(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        } catch (com.lmax.disruptor.TimeoutException e) {
             LOG.log(Logger.Level.WARNING, LogLine.of("loop_close_late").toString());
             disruptor.halt();
         }
@@ -90,18 +90,18 @@
     private void runSafely(Runnable task) {
         try {
             task.run();
-        } catch (RuntimeException | AssertionError fault) {
-            // One faulty task must not end the loop and with it every program of the node; the line is the alarm.
-            LOG.log(Logger.Level.ERROR, LogLine.of("loop_task_failed").toString(), fault);
+        } catch (RuntimeException | AssertionError e) {
+            // A failing task must not terminate the event loop and the other programs of the node.
+            LOG.log(Logger.Level.ERROR, LogLine.of("loop_task_failed").toString(), e);
         }
     }
 
-    private void runTimersAndLocal() {
+    private void runTimersAndLocalTasks() {
         long now = clock.nanos();
         for (var due = timers.poll(now); due != null; due = timers.poll(now)) {
             runSafely(due::run);
         }
-        for (Runnable task = local.poll(); task != null; task = local.poll()) {
+        for (Runnable task = localTasks.poll(); task != null; task = localTasks.poll()) {
             runSafely(task);
         }
     }
@@ -121,12 +121,12 @@
             Runnable task = slot.task;
             slot.task = null;
             runSafely(task);
-            runTimersAndLocal();
+            runTimersAndLocalTasks();
         }
 
         @Override
         public void onTimeout(long sequence) {
-            runTimersAndLocal();
+            runTimersAndLocalTasks();
         }
     }
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/LogLine.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/LogLine.java
@@ -1,6 +1,6 @@
 package org.parsleydrift.kernel;
 
-/** One event as a line of key=value pairs. Values with blanks, quotes or control characters are quoted. */
+/** A log event formatted as key=value pairs. Values with spaces, quotes or control characters are quoted. */
 public final class LogLine {
     private final StringBuilder text;
 
@@ -9,31 +9,31 @@
     }
 
     /**
-     * Starts a line.
+     * Creates a line with the name of its event.
      *
-     * @param event the name of the event, lower case with underscores
-     * @return a line to add pairs to
+     * @param event the name of the event in lower case with underscores
+     * @return the new line
      */
     public static LogLine of(String event) {
         return new LogLine(event);
     }
 
     /**
-     * Adds a pair.
+     * Appends a key=value pair.
      *
      * @param key the key
      * @param value the value; null is written as a dash
      * @return this line
      */
     public LogLine with(String key, Object value) {
-        text.append(' ').append(key).append('=').append(quoted(value == null ? "-" : value.toString()));
+        text.append(' ').append(key).append('=').append(quoteIfNeeded(value == null ? "-" : value.toString()));
         return this;
     }
 
     /**
-     * Adds the step, the peer and the message of a failure.
+     * Appends the type and message of an exception, and the step and peer of a {@link StepException}.
      *
-     * @param failure what went wrong
+     * @param failure the exception; exceptions that futures add are unwrapped
      * @return this line
      */
     public LogLine failure(Throwable failure) {
@@ -49,8 +49,8 @@
         return text.toString();
     }
 
-    private static String quoted(String value) {
-        boolean plain = !value.isEmpty() && value.chars().allMatch(LogLine::plain);
+    private static String quoteIfNeeded(String value) {
+        boolean plain = !value.isEmpty() && value.chars().allMatch(LogLine::isPlain);
         if (plain) {
             return value;
         }
@@ -67,7 +67,7 @@
         return out.append('"').toString();
     }
 
-    private static boolean plain(int c) {
+    private static boolean isPlain(int c) {
         return c > ' ' && c != '"' && c != '=' && c != '\\' && c != 127;
     }
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/InvalidJsonException.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/InvalidJsonException.java
@@ -5,28 +5,28 @@
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 
-/** A JSON text that was refused, with every fault found in it. */
+/** Thrown if a JSON text cannot be parsed or does not match its schema. Carries every error found. */
 public final class InvalidJsonException extends StepException {
-    private final transient List<JsonError> faults;
+    private final transient List<JsonError> errors;
 
     /**
-     * Makes an error.
+     * Creates an exception.
      *
      * @param step the step that read the text
-     * @param name the name of the text, a file name for example
-     * @param faults all faults
+     * @param name the name of the text, for example a file name
+     * @param errors all errors found
      */
-    public InvalidJsonException(Step step, String name, List<JsonError> faults) {
-        super(step, name, faults.stream().map(JsonError::toString).collect(Collectors.joining("; ")));
-        this.faults = List.copyOf(faults);
+    public InvalidJsonException(Step step, String name, List<JsonError> errors) {
+        super(step, name, errors.stream().map(JsonError::toString).collect(Collectors.joining("; ")));
+        this.errors = List.copyOf(errors);
     }
 
     /**
-     * The faults found.
+     * Returns the errors found.
      *
-     * @return all faults, in the order of the checks
+     * @return all errors in the order of the checks, within one check by line and column
      */
     public List<JsonError> errors() {
-        return faults;
+        return errors;
     }
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/JsonDocument.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/JsonDocument.java
@@ -21,9 +21,9 @@
 import java.util.Map;
 import org.parsleydrift.kernel.Step;
 
-/** A JSON text with comments, checked against a schema; its faults carry line and column. */
+/** A JSON document with comments. Validation errors carry line and column. */
 public final class JsonDocument {
-    /** Reads JSON with comments and writes JSON; names in snake case. */
+    /** Reads JSON with comments and writes JSON; property names are in snake case, unknown properties are ignored. */
     public static final ObjectMapper MAPPER = JsonMapper.builder()
             .enable(com.fasterxml.jackson.core.json.JsonReadFeature.ALLOW_JAVA_COMMENTS)
             .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
@@ -44,71 +44,72 @@
     }
 
     /**
-     * Parses a text.
+     * Parses a JSON text.
      *
-     * @param step the step to name in errors
-     * @param name the name of the text, for errors
-     * @param text JSON, comments allowed
+     * @param step the step reported in errors
+     * @param name the name of the text reported in errors, for example a file name
+     * @param text the JSON text; Java comments are allowed, duplicate keys are not
      * @return the document
-     * @throws InvalidJsonException if it is no JSON
+     * @throws InvalidJsonException if the text is not well-formed
      */
     public static JsonDocument parse(Step step, String name, String text) {
         try {
             JsonNode root = MAPPER.readTree(text);
-            return new JsonDocument(name, step, root, locate(text));
-        } catch (JsonProcessingException fault) {
-            JsonLocation at = fault.getLocation();
-            int line = at == null ? 1 : at.getLineNr();
-            int column = at == null ? 1 : at.getColumnNr();
+            return new JsonDocument(name, step, root, locateValues(text));
+        } catch (JsonProcessingException e) {
+            JsonLocation location = e.getLocation();
+            int line = location == null ? 1 : location.getLineNr();
+            int column = location == null ? 1 : location.getColumnNr();
             throw new InvalidJsonException(
-                    step, name, List.of(new JsonError(line, column, "", fault.getOriginalMessage())));
-        } catch (IOException fault) {
-            throw new UncheckedIOException(fault);
+                    step, name, List.of(new JsonError(line, column, "", e.getOriginalMessage())));
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
         }
     }
 
     /**
-     * Checks the document against a schema that stands beside a class, and reads it.
+     * Validates the document against a schema and converts it to a value.
      *
-     * @param owner the class beside which the schema stands
-     * @param schemaFile the schema's file name
-     * @param type the type to make
-     * @param <T> the type to make
-     * @return the value
-     * @throws InvalidJsonException with every fault, if there is one
+     * @param owner the class in whose package the schema resource is found
+     * @param schemaFile the file name of the schema resource
+     * @param type the target type
+     * @param <T> the target type
+     * @return the converted value
+     * @throws InvalidJsonException if the document does not match the schema or the target type, with every error found
+     * @throws IllegalStateException if there is no such schema resource
      */
     public <T> T read(Class<?> owner, String schemaFile, Class<T> type) {
         Schema schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
-                .getSchema(resource(owner, schemaFile));
-        List<JsonError> faults = schema.validate(root).stream()
+                .getSchema(readResource(owner, schemaFile));
+        List<JsonError> errors = schema.validate(root).stream()
                 .map(error -> errorAt(error.getInstanceLocation().toString(), error.getMessage()))
                 .sorted(java.util.Comparator.comparingInt(JsonError::line).thenComparingInt(JsonError::column))
                 .toList();
-        if (!faults.isEmpty()) {
-            throw new InvalidJsonException(step, name, faults);
+        if (!errors.isEmpty()) {
+            throw new InvalidJsonException(step, name, errors);
         }
         try {
             return MAPPER.treeToValue(root, type);
-        } catch (JsonProcessingException fault) {
-            throw new InvalidJsonException(step, name, List.of(errorAt("", fault.getOriginalMessage())));
+        } catch (JsonProcessingException e) {
+            throw new InvalidJsonException(step, name, List.of(errorAt("", e.getOriginalMessage())));
         }
     }
 
     /**
-     * Places a fault that a check of meaning found.
+     * Creates an error for a value of this document, for checks that go beyond the schema.
      *
-     * @param pointer the JSON pointer of the faulty value
-     * @param message what is wrong
-     * @return the fault with its line and column
+     * @param pointer the JSON pointer of the invalid value
+     * @param message the description of the error
+     * @return the error with the line and column of the value, or 1 and 1 if there is no such value
      */
     public JsonError errorAt(String pointer, String message) {
-        JsonLocation at = locations.get(pointer);
-        return at == null
+        JsonLocation location = locations.get(pointer);
+        return location == null
                 ? new JsonError(1, 1, pointer, message)
-                : new JsonError(at.getLineNr(), at.getColumnNr(), pointer, message);
+                : new JsonError(location.getLineNr(), location.getColumnNr(), pointer, message);
     }
 
-    private static Map<String, JsonLocation> locate(String text) throws IOException {
+    private static Map<String, JsonLocation> locateValues(String text) throws IOException {
         Map<String, JsonLocation> locations = new HashMap<>();
         try (JsonParser parser = MAPPER.createParser(text)) {
             for (JsonToken token = parser.nextToken(); token != null; token = parser.nextToken()) {
@@ -119,14 +120,14 @@
         return locations;
     }
 
-    private static String resource(Class<?> owner, String file) {
+    private static String readResource(Class<?> owner, String file) {
         try (InputStream stream = owner.getResourceAsStream(file)) {
             if (stream == null) {
-                throw new IllegalStateException("no resource " + file);
+                throw new IllegalStateException("schema resource not found: " + file);
             }
             return new String(stream.readAllBytes(), StandardCharsets.UTF_8);
-        } catch (IOException fault) {
-            throw new UncheckedIOException(fault);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
         }
     }
 }
--- a/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/ManifestParser.java
+++ b/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/ManifestParser.java
@@ -9,27 +9,27 @@
 import org.parsleydrift.kernel.codec.JsonDocument;
 import org.parsleydrift.kernel.codec.JsonError;
 
-/** Reads a manifest, whole or not at all. */
+/** Parses and validates manifests. */
 public final class ManifestParser {
-    private static final String SCHEMA = "manifest.schema.json";
+    private static final String SCHEMA_FILE = "manifest.schema.json";
 
     private ManifestParser() {}
 
     /**
-     * Reads and checks a manifest.
+     * Parses and validates a manifest.
      *
-     * @param name the name of the text, for errors
-     * @param text JSON with comments
+     * @param name the name of the text reported in errors, for example a file name
+     * @param text the manifest as JSON with comments
      * @return the manifest
-     * @throws InvalidJsonException with every fault, its line and its column
+     * @throws InvalidJsonException if the manifest is invalid, with the line and column of every error found
      */
     public static Manifest parse(String name, String text) {
         JsonDocument document = JsonDocument.parse(Step.MANIFEST, name, text);
-        Manifest manifest = document.read(ManifestParser.class, SCHEMA, Manifest.class);
-        List<JsonError> faults = Stream.concat(unknownModels(document, manifest), twiceUsedNames(document, manifest))
+        Manifest manifest = document.read(ManifestParser.class, SCHEMA_FILE, Manifest.class);
+        List<JsonError> errors = Stream.concat(unknownModels(document, manifest), duplicateNames(document, manifest))
                 .toList();
-        if (!faults.isEmpty()) {
-            throw new InvalidJsonException(Step.MANIFEST, name, faults);
+        if (!errors.isEmpty()) {
+            throw new InvalidJsonException(Step.MANIFEST, name, errors);
         }
         return manifest;
     }
@@ -39,16 +39,16 @@
                 .filter(agent -> !manifest.models().containsKey(agent.getValue().model()))
                 .map(agent -> document.errorAt(
                         "/agents/" + agent.getKey() + "/model",
-                        "no such model: " + agent.getValue().model()));
+                        "unknown model: " + agent.getValue().model()));
     }
 
-    private static Stream<JsonError> twiceUsedNames(JsonDocument document, Manifest manifest) {
+    private static Stream<JsonError> duplicateNames(JsonDocument document, Manifest manifest) {
         Map<String, OperationSpec> services = manifest.services();
-        List<JsonError> faults = new ArrayList<>();
+        List<JsonError> errors = new ArrayList<>();
         manifest.tools().keySet().stream()
                 .filter(services::containsKey)
-                .map(tool -> document.errorAt("/tools/" + tool, "a service has the same name"))
-                .forEach(faults::add);
-        return faults.stream();
+                .map(tool -> document.errorAt("/tools/" + tool, "duplicate name: a service has the same name"))
+                .forEach(errors::add);
+        return errors.stream();
     }
 }
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramStateMachine.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramStateMachine.java
@@ -10,19 +10,19 @@
 import org.parsleydrift.manifest.Budget;
 
 /**
- * The life of a program as a pure state machine: events change the state, and the state alone says what comes next
- * (docs/design/programs.md).
+ * The state machine of a program. It has no side effects: events change the state, and the next steps depend on the
+ * state and the current time only.
  */
 public final class ProgramStateMachine {
-    private static final int PLAIN_CALL_SECONDS = 3600;
+    private static final int PLAIN_CALL_TIMEOUT_SECONDS = 3600;
 
     private ProgramStateMachine() {}
 
     /**
-     * Makes the state of a program that was just accepted.
+     * Creates the initial state of an accepted program.
      *
-     * @param started its first event
-     * @return the state
+     * @param started the first event of the program
+     * @return the initial state
      */
     public static ProgramState start(ProgramEvent.Started started) {
         AgentState root = newAgent(ProgramState.ROOT, started.agent(), started.prompt());
@@ -42,10 +42,11 @@
     }
 
     /**
-     * Makes the state of a plain call that must run at most once: a program of one call and no turn.
+     * Creates the initial state of a plain call with at-most-once semantics, modelled as a program of one call without
+     * a model turn.
      *
-     * @param started its first event
-     * @return the state
+     * @param started the first event of the call
+     * @return the initial state
      */
     public static ProgramState start(ProgramEvent.CallStarted started) {
         String path = ProgramState.ROOT;
@@ -60,7 +61,7 @@
         return new ProgramState(
                 started.id(),
                 started.service(),
-                new Budget(1, 1, 1, PLAIN_CALL_SECONDS, 0, 0, null),
+                new Budget(1, 1, 1, PLAIN_CALL_TIMEOUT_SECONDS, 0, 0, null),
                 started.generation(),
                 started.atMillis(),
                 Map.of(path, root),
@@ -73,11 +74,12 @@
     }
 
     /**
-     * Applies an event. Events that no longer fit, such as a late answer of a call that has ended, change nothing.
+     * Applies an event. Events that do not match the state, such as a late result of a call that has ended, are
+     * ignored.
      *
-     * @param state the state before
-     * @param event what happened
-     * @return the state after
+     * @param state the current state
+     * @param event the event
+     * @return the new state, or the current state if the event was ignored
      */
     public static ProgramState apply(ProgramState state, ProgramEvent event) {
         if (state.hasEnded()) {
@@ -87,28 +89,29 @@
             case ProgramEvent.Started ignored -> state;
             case ProgramEvent.CallStarted ignored -> state;
             case ProgramEvent.Restored restored -> restored.state();
-            case ProgramEvent.TurnEnded ended -> turnEnded(state, ended);
-            case ProgramEvent.TurnLost lost -> state.withUsage(state.usage().lost(lost.tokens()));
-            case ProgramEvent.CallIntended intended -> callIntended(state, intended.callId());
-            case ProgramEvent.CallEnded ended -> callEnded(state, ended);
+            case ProgramEvent.TurnEnded ended -> applyTurnEnded(state, ended);
+            case ProgramEvent.TurnLost lost -> state.withUsage(state.usage().withLostTurn(lost.tokens()));
+            case ProgramEvent.CallIntended intended -> applyCallIntended(state, intended.callId());
+            case ProgramEvent.CallEnded ended -> applyCallEnded(state, ended);
             case ProgramEvent.MessageArrived message -> state.withMessage(message.key(), message.text());
             case ProgramEvent.Stopped stopped -> state.withEnd(stopped.end(), stopped.detail());
         };
-        return settle(changed);
+        return executeInternalActions(changed);
     }
 
     /**
-     * Says what the program needs next.
+     * Computes the next steps of a program.
      *
-     * @param state its state
-     * @param nowMillis the present time in milliseconds since the epoch
-     * @return steps in order of their agents' paths; empty if it waits or is over
+     * @param state the program's state
+     * @param nowMillis the current time in milliseconds since the epoch
+     * @return the steps in order of their agents' paths, or a single stop if a limit is reached; empty if the program
+     *     waits or has ended
      */
     public static List<ProgramStep> nextSteps(ProgramState state, long nowMillis) {
         if (state.hasEnded()) {
             return List.of();
         }
-        return limit(state, nowMillis)
+        return exceededLimit(state, nowMillis)
                 .map(List::of)
                 .orElseGet(() -> state.agents().values().stream()
                         .flatMap(agent -> nextStep(agent).stream())
@@ -116,27 +119,27 @@
     }
 
     /**
-     * Finds an action that is not done.
+     * Finds a pending tool call.
      *
-     * @param state the program
-     * @param callId the action's id
-     * @return the action, if it is at the head of its agent's list
+     * @param state the program's state
+     * @param callId the id of the call
+     * @return the call, or empty if it is not the first pending action of an agent
      */
     public static Optional<PendingAction> findPendingCall(ProgramState state, String callId) {
-        return owner(state, callId).map(agent -> agent.pending().getFirst());
+        return findCallingAgent(state, callId).map(agent -> agent.pending().getFirst());
     }
 
     /**
-     * The identity of a call for repeats and blocks.
+     * Returns the identity of a call, by which repeated calls and calls of unknown outcome are recognised.
      *
      * @param call the call
-     * @return tool and arguments
+     * @return the tool and the arguments, separated by a space
      */
     public static String identity(Action.CallTool call) {
         return call.tool() + " " + call.arguments();
     }
 
-    private static Optional<ProgramStep> limit(ProgramState state, long nowMillis) {
+    private static Optional<ProgramStep> exceededLimit(ProgramState state, long nowMillis) {
         var budget = state.budget();
         var usage = state.usage();
         if (nowMillis - state.startedMillis() >= budget.seconds() * 1000L) {
@@ -145,15 +148,15 @@
         if (usage.repeats() >= budget.repeats()) {
             return Optional.of(new ProgramStep.Stop(ProgramEnd.LOOP, usage.repeats() + " times " + usage.lastCall()));
         }
-        boolean wantsTurn = state.agents().values().stream().anyMatch(AgentState::thinking);
-        if (wantsTurn && (usage.turns() >= budget.turns() || usage.tokens() >= budget.tokens())) {
+        boolean needsTurn = state.agents().values().stream().anyMatch(AgentState::thinking);
+        if (needsTurn && (usage.turns() >= budget.turns() || usage.tokens() >= budget.tokens())) {
             return Optional.of(new ProgramStep.Stop(
                     ProgramEnd.BUDGET_SPENT, usage.turns() + " turns, " + usage.tokens() + " tokens"));
         }
-        boolean wantsCall = state.agents().values().stream()
+        boolean needsCall = state.agents().values().stream()
                 .flatMap(agent -> agent.pending().stream().limit(1))
                 .anyMatch(pending -> pending.action() instanceof Action.CallTool && !pending.intended());
-        if (wantsCall && usage.calls() >= budget.calls()) {
+        if (needsCall && usage.calls() >= budget.calls()) {
             return Optional.of(new ProgramStep.Stop(ProgramEnd.BUDGET_SPENT, usage.calls() + " calls"));
         }
         return Optional.empty();
@@ -172,7 +175,7 @@
                 : Optional.empty();
     }
 
-    private static ProgramState turnEnded(ProgramState state, ProgramEvent.TurnEnded ended) {
+    private static ProgramState applyTurnEnded(ProgramState state, ProgramEvent.TurnEnded ended) {
         AgentState agent = state.agents().get(ended.path());
         if (agent == null || !agent.thinking() || agent.turns() != ended.turn()) {
             return state;
@@ -182,14 +185,14 @@
                 .mapToObj(i -> new PendingAction(
                         state.id() + "/" + ended.path() + "/" + ended.turn() + "/" + i, actions.get(i), false, null))
                 .toList();
-        return state.withUsage(state.usage().turn(ended.tokens()))
-                .withAgent(agent.said(new HistoryEntry(HistoryEntry.Kind.MODEL, ended.text()))
+        return state.withUsage(state.usage().withTurn(ended.tokens()))
+                .withAgent(agent.withHistoryEntry(new HistoryEntry(HistoryEntry.Kind.MODEL, ended.text()))
                         .withTurn()
                         .withPending(pending));
     }
 
-    private static ProgramState callIntended(ProgramState state, String callId) {
-        return owner(state, callId)
+    private static ProgramState applyCallIntended(ProgramState state, String callId) {
+        return findCallingAgent(state, callId)
                 .map(agent -> {
                     List<PendingAction> pending = new ArrayList<>(agent.pending());
                     pending.set(0, pending.getFirst().asIntended());
@@ -198,19 +201,22 @@
                 .orElse(state);
     }
 
-    private static ProgramState callEnded(ProgramState state, ProgramEvent.CallEnded ended) {
-        return owner(state, ended.callId())
+    private static ProgramState applyCallEnded(ProgramState state, ProgramEvent.CallEnded ended) {
+        return findCallingAgent(state, ended.callId())
                 .map(agent -> {
                     var call = (Action.CallTool) agent.pending().getFirst().action();
                     String text = call.tool() + " " + ended.outcome() + " " + ended.answer();
-                    ProgramState after = state.withUsage(state.usage().call(identity(call)))
-                            .withAgent(agent.withoutHead().said(new HistoryEntry(HistoryEntry.Kind.TOOL, text)));
-                    return ended.outcome() == CallOutcome.OUTCOME_UNKNOWN ? after.withUnknown(identity(call)) : after;
+                    ProgramState after = state.withUsage(state.usage().withCall(identity(call)))
+                            .withAgent(agent.withoutFirstPending()
+                                    .withHistoryEntry(new HistoryEntry(HistoryEntry.Kind.TOOL, text)));
+                    return ended.outcome() == CallOutcome.OUTCOME_UNKNOWN
+                            ? after.withUnknownOutcome(identity(call))
+                            : after;
                 })
                 .orElse(state);
     }
 
-    private static Optional<AgentState> owner(ProgramState state, String callId) {
+    private static Optional<AgentState> findCallingAgent(ProgramState state, String callId) {
         return state.agents().values().stream()
                 .filter(agent -> !agent.pending().isEmpty()
                         && agent.pending().getFirst().id().equals(callId)
@@ -218,31 +224,33 @@
                 .findFirst();
     }
 
-    /** Carries out all that needs no outside system, until nothing changes. */
-    private static ProgramState settle(ProgramState state) {
-        ProgramState settled = state;
-        for (var next = settleOnce(settled); next.isPresent(); next = settleOnce(settled)) {
-            settled = next.get();
+    /** Executes all actions that need no external system, until the state no longer changes. */
+    private static ProgramState executeInternalActions(ProgramState state) {
+        ProgramState current = state;
+        for (var next = executeNextInternalAction(current);
+                next.isPresent();
+                next = executeNextInternalAction(current)) {
+            current = next.get();
         }
-        return settled;
+        return current;
     }
 
-    private static Optional<ProgramState> settleOnce(ProgramState state) {
+    private static Optional<ProgramState> executeNextInternalAction(ProgramState state) {
         if (state.hasEnded()) {
             return Optional.empty();
         }
         return state.agents().values().stream()
                 .filter(agent -> !agent.pending().isEmpty())
-                .flatMap(agent -> settle(state, agent).stream())
+                .flatMap(agent -> executeInternalAction(state, agent).stream())
                 .findFirst();
     }
 
-    private static Optional<ProgramState> settle(ProgramState state, AgentState agent) {
+    private static Optional<ProgramState> executeInternalAction(ProgramState state, AgentState agent) {
         return switch (agent.pending().getFirst().action()) {
             case Action.CallTool ignored -> Optional.empty();
             case Action.Spawn ignored -> spawnOrJoin(state, agent);
-            case Action.AwaitMessage ignored -> readMessage(state, agent);
-            case Action.End ignored -> Optional.of(end(state, agent));
+            case Action.AwaitMessage ignored -> consumeMessage(state, agent);
+            case Action.End ignored -> Optional.of(endAgent(state, agent));
         };
     }
 
@@ -250,10 +258,10 @@
         List<PendingAction> group = agent.pending().stream()
                 .takeWhile(pending -> pending.action() instanceof Action.Spawn)
                 .toList();
-        Optional<PendingAction> unborn =
+        Optional<PendingAction> notStarted =
                 group.stream().filter(pending -> pending.child() == null).findFirst();
-        if (unborn.isPresent()) {
-            return Optional.of(spawn(state, agent, unborn.get()));
+        if (notStarted.isPresent()) {
+            return Optional.of(spawn(state, agent, notStarted.get()));
         }
         boolean allDone = group.stream()
                 .allMatch(pending -> state.agents().get(pending.child()).done());
@@ -265,7 +273,7 @@
                 agent.pending().subList(group.size(), agent.pending().size()));
         for (PendingAction pending : group) {
             String text = state.agents().get(pending.child()).lastText();
-            joined = joined.said(new HistoryEntry(HistoryEntry.Kind.CHILD, text));
+            joined = joined.withHistoryEntry(new HistoryEntry(HistoryEntry.Kind.CHILD, text));
         }
         return state.withAgent(joined);
     }
@@ -277,30 +285,31 @@
                     ProgramEnd.BUDGET_SPENT, "sub-agents: depth " + budget.depth() + ", children " + budget.children());
         }
         var spawn = (Action.Spawn) pending.action();
-        String path = agent.path() + "." + childrenOf(state, agent.path()).count();
+        String path = agent.path() + "." + childPaths(state, agent.path()).count();
         List<PendingAction> actions = agent.pending().stream()
                 .map(each -> each.id().equals(pending.id()) ? each.withChild(path) : each)
                 .toList();
         return state.withAgent(agent.withPending(actions))
                 .withAgent(newAgent(path, spawn.agent(), spawn.prompt()))
-                .withUsage(state.usage().child());
+                .withUsage(state.usage().withChild());
     }
 
-    private static Stream<String> childrenOf(ProgramState state, String path) {
+    private static Stream<String> childPaths(ProgramState state, String path) {
         return state.agents().keySet().stream()
                 .filter(other -> other.startsWith(path + ".") && other.lastIndexOf('.') == path.length());
     }
 
-    private static Optional<ProgramState> readMessage(ProgramState state, AgentState agent) {
+    private static Optional<ProgramState> consumeMessage(ProgramState state, AgentState agent) {
         return state.messages().values().stream()
                 .skip(state.consumed())
                 .findFirst()
                 .map(text -> state.withMessageRead()
-                        .withAgent(agent.withoutHead().said(new HistoryEntry(HistoryEntry.Kind.MESSAGE, text))));
+                        .withAgent(agent.withoutFirstPending()
+                                .withHistoryEntry(new HistoryEntry(HistoryEntry.Kind.MESSAGE, text))));
     }
 
-    private static ProgramState end(ProgramState state, AgentState agent) {
-        ProgramState after = state.withAgent(agent.ended());
+    private static ProgramState endAgent(ProgramState state, AgentState agent) {
+        ProgramState after = state.withAgent(agent.asEnded());
         return agent.path().equals(ProgramState.ROOT) ? after.withEnd(ProgramEnd.COMPLETE, "") : after;
     }
 
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/FrameLinks.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/FrameLinks.java
@@ -22,39 +22,35 @@
 import org.parsleydrift.kernel.LogLine;
 
 /**
- * One-way frames between nodes over TCP: four bytes of length, then the frame. Each node opens one connection to each
- * peer it sends to. Delivery is best effort; senders notice loss by timeouts of their own.
+ * Transport of length-prefixed frames between nodes over TCP. Each node opens one connection to each peer that it sends
+ * to, and connections carry frames in one direction only. Delivery is best effort; senders detect loss by their own
+ * timeouts.
  *
- * <p>A connection may go silent for good while new ones work. The sender can't tell from what it hears, since answers come
- * on another connection; so each receiver acknowledges, and a sender that hears no acknowledgement opens a new connection
- * with its next frame.
+ * <p>Receivers acknowledge frames, so that a sender detects a stalled connection although responses arrive on another
+ * one. If an acknowledgement is overdue, the next frame is sent on a new connection.
  */
 public final class FrameLinks implements AutoCloseable {
     private static final Logger LOG = System.getLogger(FrameLinks.class.getName());
     private static final int LENGTH_BYTES = 4;
     private static final int MAX_FRAME_BYTES = 4 << 20;
     private static final int MAX_UNSENT_BYTES = 16 << 20;
-    /** Time to connect; a peer takes a round trip, one that is gone never answers. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
-    /**
-     * Acknowledgements are gathered for this long, ms. Nodes tell each other their loads every 80 to 160 ms: gathered for
-     * 50 ms each such frame cost a second one in return, gathered for 300 ms every second to fourth does.
-     */
-    private static final long ACKNOWLEDGE_MILLIS = 300;
-    /** Without an acknowledgement for this long, ms, a connection counts as silent: three times the usual. */
-    private static final long SILENT_MILLIS = 1000;
+    /** Delay of an acknowledgement, so that one acknowledgement covers several frames. */
+    private static final long ACKNOWLEDGEMENT_DELAY_MILLIS = 300;
+    /** Time without an acknowledgement after which a connection is replaced. */
+    private static final long ACKNOWLEDGEMENT_TIMEOUT_MILLIS = 1000;
 
     private final Channel listener;
     private final Bootstrap outbound;
     private final Map<String, ChannelFuture> connections = new ConcurrentHashMap<>();
 
     /**
-     * Starts listening.
+     * Starts listening for connections of peers.
      *
      * @param threads the network threads
      * @param host the address to listen on
-     * @param port the port, 0 for any
-     * @param receiver receives each frame on a network thread; one that throws closes the connection
+     * @param port the port to listen on, 0 for any free port
+     * @param receiver receives each frame on a network thread; an exception closes the connection
      */
     public FrameLinks(NetworkThreads threads, String host, int port, Consumer<byte[]> receiver) {
         listener = threads.serverBootstrap()
@@ -75,31 +71,33 @@
             protected void initChannel(Channel channel) {
                 channel.pipeline()
                         .addLast(new LengthFieldPrepender(LENGTH_BYTES))
-                        .addLast(new Acknowledgements());
+                        .addLast(new AcknowledgementTracker());
             }
         });
     }
 
     /**
-     * The port it listens on.
+     * Returns the port on which frames are received.
      *
-     * @return the port
+     * @return the port, 1 to 65535
      */
     public int port() {
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
     /**
-     * Sends a frame, opening a connection if there is none.
+     * Sends a frame and opens a connection to the peer if there is none. The frame is dropped if the connection fails.
      *
-     * @param address the peer's link address
-     * @param frame its bytes
+     * @param address the peer's link address, host and port
+     * @param frame the content of the frame, at most 4 MiB
      */
     public void send(String address, byte[] frame) {
         ChannelFuture connection = connections.compute(
                 address,
-                (any, known) ->
-                        known != null && (!known.isDone() || known.channel().isActive()) ? known : connect(address));
+                (any, existing) -> existing != null
+                                && (!existing.isDone() || existing.channel().isActive())
+                        ? existing
+                        : connect(address));
         if (connection.isSuccess()) {
             write(address, connection.channel(), frame);
         } else {
@@ -112,22 +110,22 @@
     }
 
     /**
-     * Closes the connection to a peer, so that the next frame opens a new one: a connection that something between the
-     * two ends has lost track of stays silent for ever, while a new one works.
+     * Closes the connection to a peer, for example one that a middlebox has dropped silently. The next frame opens a
+     * new connection.
      *
-     * @param address the peer's link address
+     * @param address the peer's link address, host and port
      */
     public void reset(String address) {
-        ChannelFuture known = connections.remove(address);
-        if (known != null) {
-            known.channel().close();
+        ChannelFuture existing = connections.remove(address);
+        if (existing != null) {
+            existing.channel().close();
         }
     }
 
     @Override
     public void close() {
         listener.close().syncUninterruptibly();
-        connections.values().forEach(known -> known.channel().close());
+        connections.values().forEach(connection -> connection.channel().close());
     }
 
     private ChannelFuture connect(String address) {
@@ -142,8 +140,8 @@
             reset(address);
             return;
         }
-        Acknowledgements acknowledgements = channel.pipeline().get(Acknowledgements.class);
-        if (acknowledgements != null && acknowledgements.missing(channel)) {
+        AcknowledgementTracker tracker = channel.pipeline().get(AcknowledgementTracker.class);
+        if (tracker != null && tracker.isOverdueOnWrite(channel)) {
             LOG.log(
                     Logger.Level.INFO,
                     () -> LogLine.of("link_silent").with("to", address).toString());
@@ -154,21 +152,21 @@
         channel.writeAndFlush(Unpooled.wrappedBuffer(frame));
     }
 
-    /** What the other end of an outgoing connection has acknowledged. */
-    private static final class Acknowledgements extends ChannelInboundHandlerAdapter {
+    /** Tracks the acknowledgements received on an outgoing connection. */
+    private static final class AcknowledgementTracker extends ChannelInboundHandlerAdapter {
         private static final long NONE = Long.MIN_VALUE;
 
         private volatile long unacknowledgedSince = NONE;
 
-        /** Notes a write; gives whether an earlier one has gone without an acknowledgement for too long. */
-        private boolean missing(Channel channel) {
+        /** Records a write and returns whether the acknowledgement of an earlier write is overdue. */
+        private boolean isOverdueOnWrite(Channel channel) {
             long now = channel.eventLoop().ticker().nanoTime();
             long since = unacknowledgedSince;
             if (since == NONE) {
                 unacknowledgedSince = now;
                 return false;
             }
-            return now - since > TimeUnit.MILLISECONDS.toNanos(SILENT_MILLIS);
+            return now - since > TimeUnit.MILLISECONDS.toNanos(ACKNOWLEDGEMENT_TIMEOUT_MILLIS);
         }
 
         @Override
@@ -177,7 +175,7 @@
             unacknowledgedSince = NONE;
         }
 
-        /** A peer that is killed resets what it had open; taken by nobody, each costs a stack trace of thirty lines. */
+        /** Logs resets by the peer in one line, where Netty would log a stack trace. */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             LOG.log(
@@ -190,10 +188,10 @@
         }
     }
 
-    /** Hands frames on; one connection's bad frame disturbs no other connection. */
+    /** Passes received frames on. A malformed frame closes only its own connection. */
     private static final class Receiver extends SimpleChannelInboundHandler<ByteBuf> {
         private final Consumer<byte[]> receiver;
-        private boolean acknowledging;
+        private boolean acknowledgementScheduled;
 
         private Receiver(Consumer<byte[]> receiver) {
             this.receiver = receiver;
@@ -203,15 +201,19 @@
         protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
             byte[] bytes = new byte[frame.readableBytes()];
             frame.readBytes(bytes);
-            if (!acknowledging) {
-                acknowledging = true;
-                context.executor().schedule(() -> acknowledge(context), ACKNOWLEDGE_MILLIS, TimeUnit.MILLISECONDS);
+            if (!acknowledgementScheduled) {
+                acknowledgementScheduled = true;
+                context.executor()
+                        .schedule(
+                                () -> sendAcknowledgement(context),
+                                ACKNOWLEDGEMENT_DELAY_MILLIS,
+                                TimeUnit.MILLISECONDS);
             }
             receiver.accept(bytes);
         }
 
-        private void acknowledge(ChannelHandlerContext context) {
-            acknowledging = false;
+        private void sendAcknowledgement(ChannelHandlerContext context) {
+            acknowledgementScheduled = false;
             context.writeAndFlush(Unpooled.wrappedBuffer(new byte[] {1}));
         }
 
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpException.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpException.java
@@ -3,21 +3,21 @@
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 
-/** An HTTP request that got no whole answer. */
+/** Thrown if an HTTP request ends without a complete response. */
 public final class HttpException extends StepException {
-    private final boolean sent;
+    private final boolean possiblySent;
 
-    HttpException(String peer, boolean sent, String message) {
+    HttpException(String peer, boolean possiblySent, String message) {
         super(Step.CALL, peer, message);
-        this.sent = sent;
+        this.possiblySent = possiblySent;
     }
 
     /**
-     * Whether any byte of the request can have reached the other side.
+     * Returns whether any part of the request may have reached the server.
      *
-     * @return false only if no connection was made
+     * @return false if the request was certainly not sent
      */
     public boolean isPossiblySent() {
-        return sent;
+        return possiblySent;
     }
 }
--- a/parsleydrift-wire/src/test/java/org/parsleydrift/wire/BadInputTest.java
+++ b/parsleydrift-wire/src/test/java/org/parsleydrift/wire/MalformedInputTest.java
@@ -19,8 +19,8 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Malformed requests and frames, and connections that fall silent, over real sockets on loopback. */
-public class BadInputTest {
+/** Tests malformed requests and frames and stalled connections on loopback sockets. */
+public class MalformedInputTest {
     private NetworkThreads threads;
     private HttpServer server;
     private HttpClient client;
@@ -31,7 +31,7 @@
         threads = new NetworkThreads("test", 2);
         client = new HttpClient(threads);
         server = new HttpServer(threads, "127.0.0.1", 0, 100, exchange -> {
-            if (!"/silent".equals(exchange.path())) {
+            if (!"/unanswered".equals(exchange.path())) {
                 exchange.respond(200, "text/plain", "good", Map.of());
             }
         });
@@ -44,22 +44,23 @@
         threads.close();
     }
 
-    /** Symptom: one bad caller stops the server. Events: bytes that are no HTTP, a body over the limit. Cause: unguarded parsing. */
+    /** Guards against a malformed or oversized request that stops the server. */
     @Test
-    public void malformedAndOversizeRequestsDisturbNobody() throws IOException {
-        assertTrue(raw("nonsense\r\n\r\n").startsWith("HTTP/1.1 400"));
-        assertTrue(raw("POST / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n").startsWith("HTTP/1.1 413"));
-        HttpClientResponse answer = client.send(HttpRequestSpec.of(address, "GET", "/", Duration.ofSeconds(5)))
+    public void malformedAndOversizedRequestsAffectNoOthers() throws IOException {
+        assertTrue(sendRawRequest("nonsense\r\n\r\n").startsWith("HTTP/1.1 400"));
+        assertTrue(sendRawRequest("POST / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n")
+                .startsWith("HTTP/1.1 413"));
+        HttpClientResponse response = client.send(HttpRequestSpec.of(address, "GET", "/", Duration.ofSeconds(5)))
                 .join();
-        assertEquals(answer.text(), "good");
+        assertEquals(response.text(), "good");
     }
 
-    /** Symptom: a request hangs for minutes. Events: the other side takes it and never answers. Cause: trust in TCP to tell. */
+    /** Guards against a request that hangs on a server that never responds. */
     @Test
-    public void silentConnectionFailsAndNewOnesWork() {
-        HttpRequestSpec silent = HttpRequestSpec.of(address, "GET", "/silent", Duration.ofMillis(200));
+    public void stalledConnectionFailsAndNewOnesWork() {
+        HttpRequestSpec unanswered = HttpRequestSpec.of(address, "GET", "/unanswered", Duration.ofMillis(200));
         CompletionException failure = expectThrows(
-                CompletionException.class, () -> client.send(silent).join());
+                CompletionException.class, () -> client.send(unanswered).join());
         assertTrue(((HttpException) failure.getCause()).isPossiblySent());
         assertEquals(
                 client.send(HttpRequestSpec.of(address, "GET", "/", Duration.ofSeconds(5)))
@@ -68,44 +69,44 @@
                 200);
     }
 
-    /** Symptom: "not run" of a call that ran. Events: no connection can be made. Cause: sent and not sent look the same. */
+    /** Guards against a failed connection attempt being reported as a request that may have run. */
     @Test
-    public void refusedConnectionIsKnownAsNotSent() {
-        HttpRequestSpec nobody = HttpRequestSpec.of("127.0.0.1:1", "GET", "/", Duration.ofSeconds(2));
+    public void refusedConnectionIsReportedAsNotSent() {
+        HttpRequestSpec unreachable = HttpRequestSpec.of("127.0.0.1:1", "GET", "/", Duration.ofSeconds(2));
         CompletionException failure = expectThrows(
-                CompletionException.class, () -> client.send(nobody).join());
+                CompletionException.class, () -> client.send(unreachable).join());
         assertFalse(((HttpException) failure.getCause()).isPossiblySent());
     }
 
-    /** Symptom: a peer's bad frame takes a node down. Events: bytes that are no MessagePack, a frame over the limit. Cause: unguarded decoding. */
+    /** Guards against a malformed or oversized frame that affects other connections. */
     @Test
-    public void badFramesCloseTheirOwnConnectionOnly() throws Exception {
+    public void malformedFramesCloseOnlyTheirConnection() throws Exception {
         LinkedBlockingQueue<String> received = new LinkedBlockingQueue<>();
         try (FrameLinks links = new FrameLinks(threads, "127.0.0.1", 0, bytes -> {
             String text = new String(bytes, StandardCharsets.UTF_8);
             if (text.startsWith("bad")) {
-                throw new IllegalArgumentException("no MessagePack");
+                throw new IllegalArgumentException("not MessagePack");
             }
             received.add(text);
         })) {
-            assertEquals(rawFrame(links.port(), new byte[] {0, 0, 0, 3, 'b', 'a', 'd'}), -1);
-            assertEquals(rawFrame(links.port(), new byte[] {0x7f, 0, 0, 0, 1}), -1);
+            assertEquals(sendRawFrame(links.port(), new byte[] {0, 0, 0, 3, 'b', 'a', 'd'}), -1);
+            assertEquals(sendRawFrame(links.port(), new byte[] {0x7f, 0, 0, 0, 1}), -1);
             links.send("127.0.0.1:" + links.port(), "good".getBytes(StandardCharsets.UTF_8));
             assertEquals(received.poll(5, TimeUnit.SECONDS), "good");
         }
     }
 
-    private String raw(String request) throws IOException {
+    private String sendRawRequest(String request) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.port())) {
             socket.setSoTimeout(5000);
             socket.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
-            byte[] answer = new byte[64];
-            int length = socket.getInputStream().read(answer);
-            return new String(answer, 0, Math.max(0, length), StandardCharsets.UTF_8);
+            byte[] response = new byte[64];
+            int length = socket.getInputStream().read(response);
+            return new String(response, 0, Math.max(0, length), StandardCharsets.UTF_8);
         }
     }
 
-    private static int rawFrame(int port, byte[] bytes) throws IOException {
+    private static int sendRawFrame(int port, byte[] bytes) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(5000);
             socket.getOutputStream().write(bytes);
