--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/BeginResult.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/BeginResult.java
@@ -15,10 +15,10 @@
     /**
      * The budget does not hold the turn at its most.
      *
-     * @param counted tokens that count already
-     * @param generated those among them of turns that ended whole; the rest is reserved or broke off
+     * @param countedTokens tokens that count already
+     * @param generatedTokens those among them of turns that ended whole; the rest is reserved or broke off
      */
-    record Spent(int counted, int generated) implements BeginResult {}
+    record BudgetSpent(int countedTokens, int generatedTokens) implements BeginResult {}
 
     /** The turn that it goes on from does not exist; said only on the word of a read quorum. */
     record NoSuchTurn() implements BeginResult {}
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationClient.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationClient.java
@@ -74,7 +74,7 @@
      *
      * @return false if too many paths gave no reply
      */
-    public boolean reachesStores() {
+    public boolean hasReachableQuorum() {
         return set.filter(known -> known.members().stream()
                                 .filter(each -> calls.reaches(each.address()))
                                 .count()
@@ -178,7 +178,7 @@
             Map<String, Turn> turns = new HashMap<>();
             Set<String> turnIds = new HashSet<>();
             replies.stream().map(ReplicaReply.Found.class::cast).forEach(found -> {
-                found.grants().forEach(each -> grants.merge(each.request(), each, Grant::join));
+                found.grants().forEach(each -> grants.merge(each.request(), each, Grant::merge));
                 found.turns().forEach(each -> turns.put(each.id(), each));
                 turnIds.addAll(found.turnIds());
             });
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationCodec.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationCodec.java
@@ -122,8 +122,8 @@
                 .packByte(grant.state().code())
                 .packInt(grant.tokens())
                 .packString(grant.runner())
-                .packString(grant.part())
-                .packInt(grant.partTokens());
+                .packString(grant.promptPart())
+                .packInt(grant.cachedTokens());
     }
 
     static Grant grant(MessageUnpacker in) throws IOException {
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Conversations.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Conversations.java
@@ -46,7 +46,7 @@
         int generated = spent.atLeast(begin.program());
         if (begin.budget().isPresent()
                 && generated + begin.mostTokens() > begin.budget().getAsInt()) {
-            return CompletableFuture.completedFuture(new BeginResult.Spent(generated, generated));
+            return CompletableFuture.completedFuture(new BeginResult.BudgetSpent(generated, generated));
         }
         if (!health.mayTry()) {
             return CompletableFuture.completedFuture(
@@ -114,7 +114,7 @@
      * @param retention how long it is needed
      */
     public void release(String program, String request, Duration retention) {
-        background(new Grant(program, request, GrantState.RELEASED, 0, ""), retention);
+        writeInBackground(new Grant(program, request, GrantState.RELEASED, 0, ""), retention);
     }
 
     /**
@@ -123,7 +123,7 @@
      * @param grant the settled grant
      * @param retention how long it is needed
      */
-    public void background(Grant grant, Duration retention) {
+    public void writeInBackground(Grant grant, Duration retention) {
         client.write(List.of(grant), Optional.empty(), retention, BACKGROUND_PATIENCE)
                 .whenComplete((done, failure) -> {
                     if (failure != null) {
@@ -153,7 +153,8 @@
                 .sum();
         if (begin.budget().isPresent()
                 && counted + begin.mostTokens() > begin.budget().getAsInt()) {
-            return CompletableFuture.completedFuture(new BeginResult.Spent(counted, spent.atLeast(begin.program())));
+            return CompletableFuture.completedFuture(
+                    new BeginResult.BudgetSpent(counted, spent.atLeast(begin.program())));
         }
         List<Grant> settled = found.grants().values().stream()
                 .filter(each -> each.state() == GrantState.SETTLED)
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Grant.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Grant.java
@@ -9,11 +9,17 @@
  * @param state how far the request is
  * @param tokens the most it may generate, or once settled what it generated
  * @param runner the life of the runner that served it; empty if none is known
- * @param part the last part of its prompt, which the line of turns that it belongs to goes on to extend; empty for none
- * @param partTokens tokens of that part that the runner holds: those of the prompt and those that it generated
+ * @param promptPart the last part of its prompt, which the line of turns that it belongs to goes on to extend; empty for none
+ * @param cachedTokens tokens of that part that the runner holds: those of the prompt and those that it generated
  */
 public record Grant(
-        String program, String request, GrantState state, int tokens, String runner, String part, int partTokens) {
+        String program,
+        String request,
+        GrantState state,
+        int tokens,
+        String runner,
+        String promptPart,
+        int cachedTokens) {
     /**
      * Makes a grant of which no more than its tokens is known.
      *
@@ -33,7 +39,7 @@
      * @param other the other member's
      * @return the later of both
      */
-    public Grant join(Grant other) {
+    public Grant merge(Grant other) {
         return other.laterThan(this) ? other : this;
     }
 
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/MemberWatch.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/MemberWatch.java
@@ -104,6 +104,6 @@
     private boolean acts(StoreSet set, StoreMember member, Set<String> retiring, long now) {
         return complete(member.disk(), set.epoch())
                 && !retiring.contains(member.name())
-                && !silent(member.disk(), now, StoreSetKeeper.SILENT_LONG);
+                && !silent(member.disk(), now, StoreSetController.SILENT_LONG);
     }
 }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaCalls.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaCalls.java
@@ -85,7 +85,7 @@
      *
      * @param finder gives the address of such a peer, if there is one
      */
-    public void overPeers(Supplier<Optional<String>> finder) {
+    public void setRelayFinder(Supplier<Optional<String>> finder) {
         peer = finder;
     }
 
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetKeeper.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetController.java
@@ -22,8 +22,8 @@
  * Keeps the set of store VMs in step with the VMs that live, from one store VM. The set is one shared object, changed
  * under a condition; members are told directly, so that a change needs no watch to arrive.
  */
-public final class StoreSetKeeper {
-    private static final Logger LOG = System.getLogger(StoreSetKeeper.class.getName());
+public final class StoreSetController {
+    private static final Logger LOG = System.getLogger(StoreSetController.class.getName());
     /** Name of the one object of its kind. */
     public static final String SET_NAME = "set";
 
@@ -76,7 +76,7 @@
      * @param toleratedLosses disks that may be lost at once
      * @param mostMembers members beyond which a VM stands by
      */
-    public StoreSetKeeper(
+    public StoreSetController(
             EventLoop loop,
             SharedObjects objects,
             ConversationReplica replica,
@@ -107,7 +107,7 @@
      *
      * @param news changed objects
      */
-    public void setChanged(List<SharedObject> news) {
+    public void onSetChanged(List<SharedObject> news) {
         listed = true;
         news.stream().filter(each -> !each.deleted()).forEach(this::takeIn);
     }
@@ -117,7 +117,7 @@
      *
      * @param news changed objects
      */
-    public void retirementsChanged(List<SharedObject> news) {
+    public void onRetirementsChanged(List<SharedObject> news) {
         news.forEach(each -> {
             LOG.log(
                     Logger.Level.INFO,
@@ -157,7 +157,7 @@
      *
      * @param follows is told
      */
-    public void onWatching(Consumer<Boolean> follows) {
+    public void setWatchListener(Consumer<Boolean> follows) {
         watching = follows;
     }
 
@@ -269,7 +269,7 @@
                 .whenComplete((list, failure) -> loop.execute(() -> {
                     refreshing = false;
                     if (list != null) {
-                        setChanged(list.objects());
+                        onSetChanged(list.objects());
                     }
                 }));
     }
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreCluster.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreCluster.java
@@ -63,16 +63,16 @@
             replica = new ConversationReplica(loop, disk, name, () -> "disk" + ++diskCount);
             ReplicaCalls calls = new ReplicaCalls(loop, sender(name), name, replica);
             receivers.put(name, frame -> loop.execute(() -> calls.receive(frame)));
-            StoreSetKeeper keeper = new StoreSetKeeper(
+            StoreSetController keeper = new StoreSetController(
                     loop, objects, replica, calls, name, name, firstStart, toleratedLosses, mostMembers);
             replica.start(calls);
-            keeper.onWatching(follows -> watches = follows);
+            keeper.setWatchListener(follows -> watches = follows);
             poll(loop, ObjectKind.STORE_SET, news -> {
                 if (watches) {
-                    keeper.setChanged(news);
+                    keeper.onSetChanged(news);
                 }
             });
-            poll(loop, ObjectKind.RETIREMENTS, keeper::retirementsChanged);
+            poll(loop, ObjectKind.RETIREMENTS, keeper::onRetirementsChanged);
             keeper.start();
         }
 
@@ -180,7 +180,7 @@
         ManualEventLoop loop = time.newLoop();
         ReplicaCalls calls = new ReplicaCalls(loop, sender(name), name, request -> new CompletableFuture<>());
         receivers.put(name, frame -> loop.execute(() -> calls.receive(frame)));
-        calls.overPeers(() -> peer);
+        calls.setRelayFinder(() -> peer);
         ConversationClient client = new ConversationClient(loop, calls);
         poll(loop, ObjectKind.STORE_SET, news -> news.forEach(each -> client.adopt(StoreSetJson.read(each.content()))));
         return new Conversations(client);
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/TokenBudgetTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/TokenBudgetTest.java
@@ -69,7 +69,7 @@
         cluster.await(entry.begin(StoreCluster.begin("p", "r1", 2 * MOST, MOST, "")));
         cluster.await(entry.begin(StoreCluster.begin("p", "r2", 2 * MOST, MOST, "")));
         BeginResult third = cluster.await(entry.begin(StoreCluster.begin("p", "r3", 2 * MOST, MOST, "")));
-        assertEquals(third, new BeginResult.Spent(2 * MOST, 0));
+        assertEquals(third, new BeginResult.BudgetSpent(2 * MOST, 0));
         cluster.await(entry.commit(
                 Optional.of(new Grant("p", "r1", GrantState.SETTLED, 30, "x")),
                 Optional.empty(),
@@ -77,7 +77,7 @@
                 Duration.ofSeconds(1)));
         assertEquals(
                 cluster.await(entry.begin(StoreCluster.begin("p", "r4", 2 * MOST, MOST, ""))),
-                new BeginResult.Spent(MOST + 30, 30));
+                new BeginResult.BudgetSpent(MOST + 30, 30));
         BeginResult small = cluster.await(entry.begin(StoreCluster.begin("p", "r5", 2 * MOST, 70, "")));
         assertTrue(small instanceof BeginResult.Granted, small.toString());
     }
@@ -114,6 +114,6 @@
         cluster.run(Duration.ofSeconds(4));
         assertEquals(
                 cluster.await(cluster.entry("f").begin(StoreCluster.begin("p", "r2", MOST, MOST, ""))),
-                new BeginResult.Spent(MOST, 0));
+                new BeginResult.BudgetSpent(MOST, 0));
     }
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
@@ -372,13 +372,13 @@
         switch (result) {
             case BeginResult.Granted grantedTurn -> {
                 heard = grantedTurn.settled().stream()
-                        .map(each -> new HeldPart(each.runner(), each.part(), each.partTokens()))
+                        .map(each -> new HeldPart(each.runner(), each.promptPart(), each.cachedTokens()))
                         .toList();
                 chained = !grantedTurn.chain().isEmpty();
                 body = ChainText.assemble(grantedTurn.chain(), request.body());
                 admit();
             }
-            case BeginResult.Spent ignored -> own(402, DENIED, "budget_spent");
+            case BeginResult.BudgetSpent ignored -> own(402, DENIED, "budget_spent");
             case BeginResult.NoSuchTurn ignored -> own(404, DENIED, "no_such_turn");
             case BeginResult.Unavailable unavailable ->
                 refuse("stores: " + unavailable.reason(), RelayLimits.COME_BACK_STORES);
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TurnRecord.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TurnRecord.java
@@ -60,12 +60,12 @@
     private void logDenied(BeginResult result) {
         LogLine line = LogLine.of("turn_denied").with("request", facts.id()).with("program", facts.program());
         switch (result) {
-            case BeginResult.Spent spent ->
+            case BeginResult.BudgetSpent spent ->
                 LOG.log(
                         Logger.Level.INFO,
                         line.with("reason", "budget_spent")
-                                .with("counted", spent.counted())
-                                .with("generated", spent.generated())
+                                .with("counted", spent.countedTokens())
+                                .with("generated", spent.generatedTokens())
                                 .with("most", facts.mostTokens())
                                 .with("budget", facts.budget().orElse(0))
                                 .toString());
@@ -97,7 +97,8 @@
             reserved = false;
             int tokens = tokensOf(events, service);
             relay.conversations()
-                    .background(new Grant(program(), facts.id(), GrantState.SETTLED, tokens, ""), route.retention());
+                    .writeInBackground(
+                            new Grant(program(), facts.id(), GrantState.SETTLED, tokens, ""), route.retention());
         }
     }
 
@@ -138,7 +139,7 @@
                 .commit(Optional.of(grant), Optional.empty(), route.retention(), RelayLimits.SETTLE_WAIT)
                 .whenComplete((done, failure) -> relay.loop().execute(() -> {
                     if (failure != null) {
-                        relay.conversations().background(grant, route.retention());
+                        relay.conversations().writeInBackground(grant, route.retention());
                     }
                     waited.complete(null);
                 }));
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/BrokenTurnTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/BrokenTurnTest.java
@@ -128,7 +128,7 @@
         return CompletableFuture.completedFuture(
                 switch (request) {
                     case ReplicaRequest.Write write -> {
-                        write.grants().forEach(each -> grants.merge(each.request(), each, Grant::join));
+                        write.grants().forEach(each -> grants.merge(each.request(), each, Grant::merge));
                         yield new ReplicaReply.Written();
                     }
                     case ReplicaRequest.Read read ->
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
@@ -109,11 +109,11 @@
                 self,
                 new FleetUse(dispatcher, allotments),
                 this::ready,
-                stores::reachesStores,
+                stores::hasReachableQuorum,
                 parts.random,
                 Map.of(ObjectKind.RUNNERS, runners, ObjectKind.MANIFEST, manifests, ObjectKind.STORE_SET, storeSets),
                 nodes::follow);
-        calls.overPeers(mesh::peerThatReachesStores);
+        calls.setRelayFinder(mesh::peerThatReachesStores);
         callers = new CallerServer(
                 parts.threads,
                 parts.loop,
@@ -179,7 +179,7 @@
     }
 
     private boolean ready() {
-        boolean cutOff = !stores.reachesStores() && !mesh.hearsAnyone() && mesh.hasKnownPeers();
+        boolean cutOff = !stores.hasReachableQuorum() && !mesh.hearsAnyone() && mesh.hasKnownPeers();
         return !draining && registry.manifest().isPresent() && !cutOff;
     }
 
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/StoreRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/StoreRole.java
@@ -9,7 +9,7 @@
 import org.parsleydrift.conversation.ConversationReplica;
 import org.parsleydrift.conversation.FileDurableLog;
 import org.parsleydrift.conversation.ReplicaCalls;
-import org.parsleydrift.conversation.StoreSetKeeper;
+import org.parsleydrift.conversation.StoreSetController;
 import org.parsleydrift.kernel.LogLine;
 import org.parsleydrift.kernel.SystemClock;
 import org.parsleydrift.registry.ObjectFollower;
@@ -29,7 +29,7 @@
     private final FileDurableLog log;
     private final ConversationReplica replica;
     private final ReplicaCalls calls;
-    private final StoreSetKeeper keeper;
+    private final StoreSetController keeper;
 
     StoreRole(ProcessParts parts) {
         this.parts = parts;
@@ -38,7 +38,7 @@
         this.replica = new ConversationReplica(parts.loop, log, settings.vm(), StoreRole::freshDiskId);
         LinkFrames frames = new LinkFrames(parts, this::receive);
         this.calls = new ReplicaCalls(parts.loop, frames, settings.link().toString(), replica);
-        this.keeper = new StoreSetKeeper(
+        this.keeper = new StoreSetController(
                 parts.loop,
                 parts.objects,
                 replica,
@@ -61,10 +61,10 @@
     public void start() {
         parts.loop.execute(() -> {
             replica.start(calls);
-            ObjectFollower sets = follower(ObjectKind.STORE_SET, keeper::setChanged);
-            keeper.onWatching(sets::follow);
+            ObjectFollower sets = follower(ObjectKind.STORE_SET, keeper::onSetChanged);
+            keeper.setWatchListener(sets::follow);
             sets.start();
-            follower(ObjectKind.RETIREMENTS, keeper::retirementsChanged).start();
+            follower(ObjectKind.RETIREMENTS, keeper::onRetirementsChanged).start();
             keeper.start();
         });
     }
