--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionRun.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionRun.java
@@ -64,7 +64,7 @@
             List<HeldPart> known = policy.hears() ? heard.getOrDefault(turn.program, List.of()) : List.of();
             List<Candidate> candidates = IntStream.range(0, shape.engines())
                     .mapToObj(engine -> {
-                        String life = runners.get(engine).life();
+                        String life = runners.get(engine).incarnation();
                         int missing = memory.missing(life, turn.prompt, known, time.nanos());
                         return new Candidate(runners.get(engine), load(engine), false, false, missing);
                     })
@@ -82,11 +82,11 @@
             placements++;
             own[engine]++;
             usualMissing += USUAL_WEIGHT * (chosen.missingTokens() - usualMissing);
-            memory.sent(chosen.runner().life(), turn.prompt, time.nanos());
+            memory.sent(chosen.runner().incarnation(), turn.prompt, time.nanos());
             promptTokens += turn.prompt.stream().mapToInt(PromptPart::tokens).sum();
             engines.get(engine).submit(new EngineModel.Run(turn.prompt, turn.script.outputTokens(), () -> {
                 own[engine]--;
-                turn.served(chosen.runner().life());
+                turn.served(chosen.runner().incarnation());
                 dispatch();
             }));
         }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/Policy.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/Policy.java
@@ -96,7 +96,7 @@
         int least =
                 situation.candidates().stream().mapToInt(Candidate::load).min().orElse(0);
         return withPlace(situation)
-                .filter(each -> each.runner().life().equals(situation.lastEngine()))
+                .filter(each -> each.runner().incarnation().equals(situation.lastEngine()))
                 .filter(each -> each.load() - allowance <= least)
                 .findFirst();
     }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/AllotmentRule.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/AllotmentRule.java
@@ -1,7 +1,7 @@
 package org.parsleydrift.placement;
 
 import java.time.Duration;
-import org.parsleydrift.registry.Allotment;
+import org.parsleydrift.registry.Quota;
 
 /**
  * How requests are counted against an allotment, and by how much the count may be off. Nodes hear of each other late, so a
@@ -24,8 +24,8 @@
      * Requests that a team may run in the later half of the window. So it has little more than the burst beyond its rate at any
      * time, and a fleet that forgets all it has counted can go on at the rate.
      */
-    double late(Allotment allotment) {
-        return allotment.most(seconds() / 2) + slack;
+    double late(Quota allotment) {
+        return allotment.maxRequests(seconds() / 2) + slack;
     }
 
     /**
@@ -35,7 +35,7 @@
      * @param allotment the team's
      * @param unseen share of the window that lies before the starts of nodes, 0 to 1
      */
-    double whole(Allotment allotment, double unseen) {
+    double whole(Quota allotment, double unseen) {
         double above = allotment.burst() + SLACK_GIVEN_OUT * slack;
         return allotment.ratePerSecond() * seconds() * (1 - unseen) + above * known(unseen);
     }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Allotments.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Allotments.java
@@ -101,7 +101,7 @@
      * @return true at its limit
      */
     public boolean full(Team team) {
-        return team.allotment().limited() && free(team, use(team).ran()) < 1;
+        return team.quota().isLimited() && free(team, use(team).ran()) < 1;
     }
 
     /**
@@ -112,7 +112,7 @@
      */
     public Duration comeBack(Team team) {
         double over = Math.max(
-                1, perSecond(use(team).asked()) / Math.max(1, team.allotment().ratePerSecond()));
+                1, perSecond(use(team).asked()) / Math.max(1, team.quota().ratePerSecond()));
         long millis = (long) (COME_BACK.toMillis() * over);
         return Duration.ofMillis(Math.min(COME_BACK_MOST.toMillis(), millis));
     }
@@ -127,7 +127,7 @@
      */
     public AllotmentRuling ask(Team team, boolean underWay, boolean ofProgram) {
         boolean begins = !underWay && ofProgram;
-        if (!team.allotment().limited()) {
+        if (!team.quota().isLimited()) {
             need.let(begins);
             return AllotmentRuling.UNLIMITED;
         }
@@ -197,8 +197,8 @@
     }
 
     private double free(Team team, Windowed taken) {
-        double late = rule.late(team.allotment()) - taken.late();
-        double whole = rule.whole(team.allotment(), unseenShare()) - taken.whole();
+        double late = rule.late(team.quota()) - taken.late();
+        double whole = rule.whole(team.quota(), unseenShare()) - taken.whole();
         return Math.min(late, whole);
     }
 
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/AllotmentFleet.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/AllotmentFleet.java
@@ -11,7 +11,7 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.stream.IntStream;
-import org.parsleydrift.registry.Allotment;
+import org.parsleydrift.registry.Quota;
 import org.parsleydrift.registry.Team;
 
 /**
@@ -77,7 +77,7 @@
     }
 
     AllotmentFleet(int nodeCount, double rate, long seed) {
-        team = new Team("t", OptionalInt.empty(), new Allotment(rate, rate));
+        team = new Team("t", OptionalInt.empty(), new Quota(rate, rate));
         random = new Random(seed);
         nodes = new Node[nodeCount];
         // Long up before the traffic starts.
@@ -117,7 +117,7 @@
 
     /** What may run in any window before the rule is broken. */
     double bound() {
-        return team.allotment().most(WINDOW.toMillis() / 1000.0) * 1.1 + 20;
+        return team.quota().maxRequests(WINDOW.toMillis() / 1000.0) * 1.1 + 20;
     }
 
     private void ask(Ask ask) {
@@ -150,7 +150,7 @@
     private boolean belowLimit(Ask ask) {
         dropOld(ran);
         dropOld(begun);
-        double most = team.allotment().most(WINDOW.toMillis() / 1000.0);
+        double most = team.quota().maxRequests(WINDOW.toMillis() / 1000.0);
         boolean programs = ask.step > 0 || (begun.size() + 1) * PROGRAM_REQUESTS <= most;
         return programs && ran.size() + 1 <= most;
     }
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/AllotmentsTest.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/AllotmentsTest.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.IntStream;
-import org.parsleydrift.registry.Allotment;
+import org.parsleydrift.registry.Quota;
 import org.parsleydrift.registry.Team;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -110,7 +110,7 @@
     public void onlyWhatMayHaveRunCounts() {
         AtomicLong now = new AtomicLong(Duration.ofSeconds(60).toNanos());
         Allotments allotments = aged(now);
-        Team team = new Team("t", OptionalInt.empty(), new Allotment(10, 10));
+        Team team = new Team("t", OptionalInt.empty(), new Quota(10, 10));
         AllottedPlace first = place(allotments, team);
         AllottedPlace second = place(allotments, team);
         assertEquals(ran(allotments), 2);
@@ -132,9 +132,9 @@
     public void aLoweredLimitHoldsAtOnce() {
         AtomicLong now = new AtomicLong(Duration.ofSeconds(60).toNanos());
         Allotments allotments = aged(now);
-        Team before = new Team("t", OptionalInt.empty(), new Allotment(100, 0));
+        Team before = new Team("t", OptionalInt.empty(), new Quota(100, 0));
         IntStream.range(0, 40).forEach(each -> place(allotments, before));
-        Team lowered = new Team("t", OptionalInt.empty(), new Allotment(5, 0));
+        Team lowered = new Team("t", OptionalInt.empty(), new Quota(5, 0));
         assertTrue(allotments.ask(lowered, true, true) instanceof AllotmentRuling.Over);
         now.addAndGet(Duration.ofSeconds(6).toNanos());
         assertTrue(allotments.ask(lowered, true, true) instanceof AllotmentRuling.Allowed);
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/NewestLives.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/NewestLives.java
@@ -21,10 +21,10 @@
     };
 
     void seen(Runner runner) {
-        bornMillis.merge(runner.id(), runner.bornMillis(), Math::max);
+        bornMillis.merge(runner.id(), runner.startMillis(), Math::max);
     }
 
     boolean isFormer(Runner runner) {
-        return runner.bornMillis() < bornMillis.getOrDefault(runner.id(), 0L);
+        return runner.startMillis() < bornMillis.getOrDefault(runner.id(), 0L);
     }
 }
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectDecoder.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectDecoder.java
@@ -8,7 +8,7 @@
      * @param content the content
      * @return the manifest
      */
-    RoutingManifest manifest(byte[] content);
+    RoutingManifest decodeManifest(byte[] content);
 
     /**
      * Reads a runner's entry.
@@ -17,5 +17,5 @@
      * @param content the content
      * @return the runner
      */
-    Runner runner(String name, byte[] content);
+    Runner decodeRunner(String name, byte[] content);
 }
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectFollower.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/ObjectWatcher.java
@@ -17,8 +17,8 @@
  * <p>Where nodes that follow the same kind tell each other how old their knowledge is, they also check: when it grows old
  * one of them asks for changes without waiting. A watch may be silent for as long as it waits, at all nodes at once.
  */
-public final class ObjectFollower {
-    private static final Logger LOG = System.getLogger(ObjectFollower.class.getName());
+public final class ObjectWatcher {
+    private static final Logger LOG = System.getLogger(ObjectWatcher.class.getName());
     /** Pause after the first failure, ms; short, since drains must be known within about two seconds. */
     private static final long FIRST_PAUSE_MILLIS = 60;
     /** Longest pause between tries, ms: a quarter of the time in which a drain must be known. */
@@ -58,7 +58,7 @@
      * @param table takes in what is learned
      * @param listener is told of news
      */
-    public ObjectFollower(
+    public ObjectWatcher(
             ObjectKind kind,
             SharedObjects objects,
             EventLoop loop,
@@ -83,14 +83,14 @@
          *
          * @param news the changes that were news
          */
-        void changed(List<SharedObject> news);
+        void onChanges(List<SharedObject> news);
 
         /**
          * The platform has been silent for longer than {@link KnowledgeAge#SILENCE}, or a silence has ended.
          *
          * @param reached whether it answers this node or one that this node hears of
          */
-        void reached(boolean reached);
+        void onReachabilityChanged(boolean reached);
     }
 
     /** Starts following. */
@@ -104,7 +104,7 @@
      *
      * @param checkAfter the age at which this node is to ask; differs among nodes, so that few ask at a time
      */
-    public void lookAtAge(Duration checkAfter) {
+    public void checkIfStale(Duration checkAfter) {
         noticeSilence();
         long sinceCheck = loop.clock().nanos() - checkAskedNanos;
         if (listed && !checking && age().compareTo(checkAfter) >= 0 && sinceCheck >= checkAfter.toNanos()) {
@@ -219,7 +219,7 @@
     /** Entries of other writers may hold anything; one that trips the listener must not end the following of all. */
     private void tellNews(List<SharedObject> news) {
         try {
-            listener.changed(news);
+            listener.onChanges(news);
         } catch (RuntimeException fault) {
             LOG.log(
                     Logger.Level.ERROR,
@@ -310,7 +310,7 @@
                             .with("as_of", table.asOf())
                             .with("known_ms_ago", age().toMillis())
                             .toString());
-            listener.reached(false);
+            listener.onReachabilityChanged(false);
         }
     }
 
@@ -323,7 +323,7 @@
                         .with("known_ms_ago", age().toMillis())
                         .with("watch_asked_ms_ago", millisSince(askedNanos))
                         .toString());
-        listener.reached(true);
+        listener.onReachabilityChanged(true);
         if (askedNanos - provedNanos < 0) {
             replaceWatch(run);
         }
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Allotment.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Quota.java
@@ -6,16 +6,16 @@
  * @param ratePerSecond requests a second; 0 for no limit
  * @param burst requests on top of the rate in any window
  */
-public record Allotment(double ratePerSecond, double burst) {
+public record Quota(double ratePerSecond, double burst) {
     /** No limit. */
-    public static final Allotment UNLIMITED = new Allotment(0, 0);
+    public static final Quota UNLIMITED = new Quota(0, 0);
 
     /**
      * Whether there is a limit at all.
      *
      * @return true if requests of the team are to be counted
      */
-    public boolean limited() {
+    public boolean isLimited() {
         return ratePerSecond > 0;
     }
 
@@ -25,7 +25,7 @@
      * @param windowSeconds the length of the window, s
      * @return requests
      */
-    public double most(double windowSeconds) {
+    public double maxRequests(double windowSeconds) {
         return ratePerSecond * windowSeconds + burst;
     }
 }
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Registry.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Registry.java
@@ -82,9 +82,9 @@
      *
      * @return the lives
      */
-    public Set<String> lives() {
+    public Set<String> incarnations() {
         return Stream.concat(runners.values().stream(), lapsed.values().stream())
-                .map(Runner::life)
+                .map(Runner::incarnation)
                 .collect(Collectors.toSet());
     }
 
@@ -94,9 +94,9 @@
      * @param runner one of its lives
      * @return whether this life is known and not leaving
      */
-    public boolean usable(Runner runner) {
+    public boolean isUsable(Runner runner) {
         Runner known = runners.getOrDefault(runner.id(), lapsed.get(runner.id()));
-        return known != null && known.life().equals(runner.life()) && !known.draining();
+        return known != null && known.incarnation().equals(runner.incarnation()) && !known.draining();
     }
 
     /**
@@ -104,7 +104,7 @@
      *
      * @param reached whether it answers any node that this node hears of
      */
-    public void platformReached(boolean reached) {
+    public void setPlatformReachable(boolean reached) {
         if (reached == platformReached) {
             return;
         }
@@ -123,7 +123,7 @@
      *
      * @param current whether it was; false while the platform is silent
      */
-    public void manifestCurrent(boolean current) {
+    public void setManifestCurrent(boolean current) {
         manifestCurrent = current;
     }
 
@@ -132,7 +132,7 @@
      *
      * @return whether it was
      */
-    public boolean manifestCurrent() {
+    public boolean isManifestCurrent() {
         return manifestCurrent;
     }
 
@@ -141,7 +141,7 @@
      *
      * @param news changed entries
      */
-    public void runnersChanged(List<SharedObject> news) {
+    public void applyRunnerChanges(List<SharedObject> news) {
         news.forEach(this::runnerChanged);
         onChange.run();
     }
@@ -151,10 +151,10 @@
      *
      * @param news changed objects
      */
-    public void manifestChanged(List<SharedObject> news) {
+    public void applyManifestChanges(List<SharedObject> news) {
         news.stream().filter(each -> !each.deleted()).forEach(each -> {
             try {
-                RoutingManifest read = decoder.manifest(each.content());
+                RoutingManifest read = decoder.decodeManifest(each.content());
                 manifest = read;
                 LOG.log(
                         Logger.Level.INFO,
@@ -185,7 +185,7 @@
             return;
         }
         try {
-            Runner now = decoder.runner(change.name(), change.content());
+            Runner now = decoder.decodeRunner(change.name(), change.content());
             if (newestLives.isFormer(now)) {
                 log("runner_of_former_life", now, change);
                 return;
@@ -253,7 +253,7 @@
 
     private static LogLine line(String event, Runner runner) {
         return LogLine.of(event)
-                .with("runner", runner.life())
+                .with("runner", runner.incarnation())
                 .with("service", runner.service())
                 .with("address", runner.address())
                 .with("zone", runner.zone())
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Route.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Route.java
@@ -15,9 +15,9 @@
  * @param maxAttempts runners that one request may run on
  * @param priority its rank; 0 is the highest
  * @param resumable whether a stream may go on at another runner
- * @param keepsConversation whether the system keeps what was said
+ * @param stateful whether the system keeps what was said
  * @param retention how long a turn is kept
- * @param open whether callers need no key, where the manifest names teams
+ * @param anonymousAllowed whether callers need no key, where the manifest names teams
  * @param destinations the services that serve it, with weights
  */
 public record Route(
@@ -30,9 +30,9 @@
         int maxAttempts,
         int priority,
         boolean resumable,
-        boolean keepsConversation,
+        boolean stateful,
         Duration retention,
-        boolean open,
+        boolean anonymousAllowed,
         List<Destination> destinations) {
     /** Copies the destinations. */
     public Route {
@@ -44,7 +44,7 @@
      *
      * @return true for idempotent routes
      */
-    public boolean repeatable() {
+    public boolean isIdempotent() {
         return kind == CallKind.IDEMPOTENT;
     }
 
@@ -53,7 +53,7 @@
      *
      * @return true for streaming routes
      */
-    public boolean streaming() {
+    public boolean isStreaming() {
         return kind == CallKind.STREAMING;
     }
 
@@ -62,8 +62,8 @@
      *
      * @return true for idempotent routes and streams that may be resumed
      */
-    public boolean mayRunTwice() {
-        return repeatable() || (streaming() && resumable);
+    public boolean isRetriable() {
+        return isIdempotent() || (isStreaming() && resumable);
     }
 
     /**
@@ -72,7 +72,7 @@
      * @param draw a number from 0 to 1, not 1
      * @return the service
      */
-    public String destination(double draw) {
+    public String selectDestination(double draw) {
         int total = destinations.stream().mapToInt(Destination::weight).sum();
         double left = draw * total;
         for (Destination each : destinations) {
--- a/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Team.java
+++ b/parsleydrift-registry/src/main/java/org/parsleydrift/registry/Team.java
@@ -7,6 +7,6 @@
  *
  * @param name its name, which runners are told
  * @param priority the rank of its requests, which goes before that of their routes; 0 is the highest
- * @param allotment how many of its requests may run
+ * @param quota how many of its requests may run
  */
-public record Team(String name, OptionalInt priority, Allotment allotment) {}
+public record Team(String name, OptionalInt priority, Quota quota) {}
--- a/parsleydrift-registry/src/test/java/org/parsleydrift/registry/RoutingManifestTest.java
+++ b/parsleydrift-registry/src/test/java/org/parsleydrift/registry/RoutingManifestTest.java
@@ -56,9 +56,9 @@
     @Test
     public void destinationsAreDrawnByWeight() {
         Route route = route("r", "h", "/");
-        assertEquals(route.destination(0.0), "a");
-        assertEquals(route.destination(0.89), "a");
-        assertEquals(route.destination(0.91), "b");
-        assertTrue(route.repeatable());
+        assertEquals(route.selectDestination(0.0), "a");
+        assertEquals(route.selectDestination(0.89), "a");
+        assertEquals(route.selectDestination(0.91), "b");
+        assertTrue(route.isIdempotent());
     }
 }
--- a/parsleydrift-registry/src/test/java/org/parsleydrift/registry/RunnerLivesTest.java
+++ b/parsleydrift-registry/src/test/java/org/parsleydrift/registry/RunnerLivesTest.java
@@ -22,12 +22,12 @@
         revision = 0;
         registry = new Registry(new ManualScheduler().newLoop(), new ObjectDecoder() {
             @Override
-            public RoutingManifest manifest(byte[] content) {
+            public RoutingManifest decodeManifest(byte[] content) {
                 throw new UnsupportedOperationException();
             }
 
             @Override
-            public Runner runner(String name, byte[] content) {
+            public Runner decodeRunner(String name, byte[] content) {
                 String text = new String(content, UTF_8);
                 int space = text.indexOf(' ');
                 if (space < 0) {
@@ -40,11 +40,11 @@
     }
 
     private void entry(String name, String content) {
-        registry.runnersChanged(List.of(new SharedObject(name, ++revision, false, content.getBytes(UTF_8))));
+        registry.applyRunnerChanges(List.of(new SharedObject(name, ++revision, false, content.getBytes(UTF_8))));
     }
 
     private List<String> lives() {
-        return registry.runners("s").stream().map(Runner::life).sorted().toList();
+        return registry.runners("s").stream().map(Runner::incarnation).sorted().toList();
     }
 
     /** A restart under the same id is another runner: what is to be sent to the former life must not go to it. */
@@ -54,8 +54,8 @@
         Runner former = registry.runners("s").getFirst();
         entry("r", "200 10.0.0.1:1");
         assertEquals(lives(), List.of("r@200"));
-        assertFalse(registry.usable(former));
-        assertTrue(registry.usable(registry.runners("s").getFirst()));
+        assertFalse(registry.isUsable(former));
+        assertTrue(registry.isUsable(registry.runners("s").getFirst()));
     }
 
     /**
@@ -67,7 +67,7 @@
         entry("r", "200 10.0.0.2:1");
         entry("r", "100 10.0.0.1:1");
         assertEquals(lives(), List.of("r@200"));
-        registry.runnersChanged(List.of(new SharedObject("r", ++revision, true, new byte[0])));
+        registry.applyRunnerChanges(List.of(new SharedObject("r", ++revision, true, new byte[0])));
         entry("r", "100 10.0.0.1:1");
         assertEquals(lives(), List.of());
     }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Dispatcher.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Dispatcher.java
@@ -112,7 +112,7 @@
 
     /** Forgets what is believed of runners that are gone, and places what can be placed at those that came. */
     void runnersChanged() {
-        Set<String> lives = registry.lives();
+        Set<String> lives = registry.incarnations();
         prompts.keepOnly(lives);
         health.keySet().retainAll(lives);
         keys.keySet().retainAll(lives);
@@ -173,7 +173,7 @@
         Waiter waiter = entry.waiter();
         long now = nanos.getAsLong();
         List<Candidate> candidates = registry.runners(waiter.service()).stream()
-                .filter(each -> !waiter.avoided().contains(each.life()))
+                .filter(each -> !waiter.avoided().contains(each.incarnation()))
                 .map(each -> candidate(each, waiter, now))
                 .toList();
         double usual = waiter.prompt().isEmpty() ? 0 : usualMissing.getOrDefault(waiter.service(), FIRST_USUAL_MISSING);
@@ -184,7 +184,7 @@
     }
 
     private void take(Waiter waiter, Candidate chosen, double usual, long now) {
-        String life = chosen.runner().life();
+        String life = chosen.runner().incarnation();
         ownLoad.merge(life, 1, Integer::sum);
         if (!waiter.prompt().isEmpty()) {
             prompts.sent(life, waiter.prompt(), now);
@@ -199,13 +199,13 @@
     }
 
     private Candidate candidate(Runner runner, Waiter waiter, long now) {
-        RunnerHealth known = health.get(runner.life());
+        RunnerHealth known = health.get(runner.incarnation());
         return new Candidate(
                 runner,
-                ownLoad.getOrDefault(runner.life(), 0) + peerTotal.getOrDefault(key(runner.life()), 0),
+                ownLoad.getOrDefault(runner.incarnation(), 0) + peerTotal.getOrDefault(key(runner.incarnation()), 0),
                 known != null && known.suspended(now),
                 runner.zone().equals(zone),
-                prompts.missing(runner.life(), waiter.prompt(), waiter.heard(), now));
+                prompts.missing(runner.incarnation(), waiter.prompt(), waiter.heard(), now));
     }
 
     private record Entry(Waiter waiter, long arrival) {}
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
@@ -71,7 +71,7 @@
         }
         stage = RequestStage.MATCHED;
         manifestVersion = manifest.get().version();
-        boolean current = relay.registry().manifestCurrent();
+        boolean current = relay.registry().isManifestCurrent();
         switch (RequestMatch.of(manifest.get(), current, request, facts != null, relay.dialect())) {
             case RequestMatch.Denied denied -> own(denied.status(), DENIED, denied.reason());
             case RequestMatch.Unsure unsure -> refuse(unsure.reason(), RelayLimits.COME_BACK_MANIFEST);
@@ -82,7 +82,7 @@
     private void matched(RequestMatch.Found found) {
         route = found.route();
         claim = new TeamClaim(relay, request, found.team(), found.owner());
-        service = route.destination(relay.random().nextDouble());
+        service = route.selectDestination(relay.random().nextDouble());
         long most = Math.min(
                 route.timeout().toMillis(),
                 facts.deadlineMillis().orElse(route.timeout().toMillis()));
@@ -120,7 +120,7 @@
     private void keyTakenAway() {
         if (tries.mayHaveRun()) {
             own(502, "unknown", "sent once; its key was taken away");
-        } else if (relay.registry().manifestCurrent()) {
+        } else if (relay.registry().isManifestCurrent()) {
             claim.giveBack();
             own(401, DENIED, "key_taken_away");
         } else {
@@ -208,7 +208,7 @@
         LOG.log(
                 Logger.Level.INFO,
                 () -> line("request_placed")
-                        .with("runner", runner.life())
+                        .with("runner", runner.incarnation())
                         .with("load", chosen.load())
                         .with("slots", runner.slots())
                         .with("prompt", facts.promptTokens())
@@ -220,7 +220,7 @@
         if (tries.offers() == 1) {
             relay.dispatcher().retries(service).firstTry();
         }
-        exchange = new RunnerExchange(this, relay, runner, route.streaming(), route.keepsConversation());
+        exchange = new RunnerExchange(this, relay, runner, route.isStreaming(), route.stateful());
         limitSilence(runner, exchange);
         // Last: a kept connection may turn out useless at once, and the request may then be offered anew from within.
         exchange.start();
@@ -232,7 +232,7 @@
      */
     private void limitSilence(Runner runner, RunnerExchange offered) {
         silenceTimer.cancel();
-        if (!route.streaming() && !route.targetLatency().isZero() && mayRunAgain()) {
+        if (!route.isStreaming() && !route.targetLatency().isZero() && mayRunAgain()) {
             silenceTimer = relay.loop().schedule(route.targetLatency(), () -> silent(runner, offered));
         }
     }
@@ -248,17 +248,17 @@
 
     RunnerRequest runnerRequest(Runner runner) {
         return RunnerRequest.of(
-                request, facts, claim.team(), relay.dialect(), runner, leftMillis(), body, route.mayRunTwice());
+                request, facts, claim.team(), relay.dialect(), runner, leftMillis(), body, route.isRetriable());
     }
 
     /** The runner said, or it is certain, that the request was not begun there. */
     void notRun(Runner runner, String reason) {
         exchange = null;
-        tries.notRunAt(runner.life());
+        tries.notRunAt(runner.incarnation());
         LOG.log(
                 Logger.Level.INFO,
                 () -> line("not_run_at_runner")
-                        .with("runner", runner.life())
+                        .with("runner", runner.incarnation())
                         .with("reason", reason)
                         .toString());
         if (tries.mayBeOffered(relay.dispatcher().runners(service))) {
@@ -276,7 +276,9 @@
                 && exchange == offered
                 && relay.dispatcher().retries(service).take()) {
             offered.cancel();
-            relay.dispatcher().health(runner.life()).broken(relay.loop().clock().nanos());
+            relay.dispatcher()
+                    .health(runner.incarnation())
+                    .broken(relay.loop().clock().nanos());
             sendAgain(runner, "silent for longer than the route's target");
         }
     }
@@ -286,29 +288,29 @@
         if (mayRunAgain() && relay.dispatcher().retries(service).take()) {
             sendAgain(runner, reason);
         } else {
-            tries.mayHaveRunAt(runner.life());
+            tries.mayHaveRunAt(runner.incarnation());
             own(502, "unknown", reason);
         }
     }
 
     private boolean mayRunAgain() {
-        return route.mayRunTwice() && tries.anotherAllowed(route.maxAttempts()) && leftMillis() > 0 && hasOtherRunner();
+        return route.isRetriable() && tries.anotherAllowed(route.maxAttempts()) && leftMillis() > 0 && hasOtherRunner();
     }
 
     private boolean hasOtherRunner() {
         return tries.anyLeft(relay.dispatcher().runners(service).stream()
-                .filter(each -> !exchange.runnerLife().equals(each.life()))
+                .filter(each -> !exchange.runnerLife().equals(each.incarnation()))
                 .toList());
     }
 
     private void sendAgain(Runner runner, String reason) {
         exchange = null;
         claim.again();
-        tries.mayHaveRunAt(runner.life());
+        tries.mayHaveRunAt(runner.incarnation());
         LOG.log(
                 Logger.Level.INFO,
                 () -> line("sent_again")
-                        .with("runner", runner.life())
+                        .with("runner", runner.incarnation())
                         .with("reason", reason)
                         .toString());
         queue();
@@ -323,7 +325,7 @@
     /** A whole answer that is not a stream. */
     void answered(Runner runner, int status, HttpHeaders headers, byte[] bytes) {
         caller.whole(status, ForwardedHeaders.toCaller(headers), bytes);
-        turn.ifPresent(each -> each.settle(runner.life(), 0));
+        turn.ifPresent(each -> each.settle(runner.incarnation(), 0));
         finish(ANSWERED, String.valueOf(status));
     }
 
@@ -331,7 +333,7 @@
     void streamEnded(Runner runner, EventStreamReader events) {
         stage = RequestStage.COMMITTING;
         long begun = relay.loop().clock().nanos();
-        turn.map(each -> each.end(runner.life(), service, request.body(), events, leftMillis()))
+        turn.map(each -> each.end(runner.incarnation(), service, request.body(), events, leftMillis()))
                 .orElseGet(() -> CompletableFuture.completedFuture(null))
                 .whenComplete((done, failure) -> relay.loop().execute(() -> committed(begun, failure)));
     }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestFacts.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestFacts.java
@@ -38,7 +38,7 @@
 
     /** Whether it is a turn, which the store VMs are told of: one that is kept, or that has a program's budget. */
     boolean turnOn(Route route) {
-        return route.streaming() && (route.keepsConversation() || (budget.isPresent() && !program.isEmpty()));
+        return route.isStreaming() && (route.stateful() || (budget.isPresent() && !program.isEmpty()));
     }
 
     /** Tokens of all parts of the prompt. */
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestMatch.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestMatch.java
@@ -57,7 +57,7 @@
         if (manifest.teams().isEmpty()) {
             return new Found(route.get(), Optional.empty(), "");
         }
-        if (route.get().open()) {
+        if (route.get().anonymousAllowed()) {
             return new Found(route.get(), Optional.empty(), owner(""));
         }
         Optional<Team> team = holder(manifest.teams().get(), keys);
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnections.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnections.java
@@ -47,7 +47,7 @@
 
     /** Gives a connection on which nothing was sent for the next request; fails with StepException. */
     CompletableFuture<RunnerConnection> acquire(Runner runner) {
-        RunnerConnection kept = takeIdle(runner.life());
+        RunnerConnection kept = takeIdle(runner.incarnation());
         return kept != null ? CompletableFuture.completedFuture(kept) : connect(runner);
     }
 
@@ -92,7 +92,7 @@
 
     private CompletableFuture<RunnerConnection> connect(Runner runner) {
         CompletableFuture<RunnerConnection> connected = new CompletableFuture<>();
-        RunnerConnection connection = new RunnerConnection(this, runner.life(), dialect, loop.clock());
+        RunnerConnection connection = new RunnerConnection(this, runner.incarnation(), dialect, loop.clock());
         int colon = runner.address().lastIndexOf(':');
         var address = new InetSocketAddress(
                 runner.address().substring(0, colon),
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerExchange.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerExchange.java
@@ -43,7 +43,7 @@
     }
 
     String runnerLife() {
-        return runner.life();
+        return runner.incarnation();
     }
 
     /** Whole events of its stream that went to the caller. */
@@ -63,12 +63,12 @@
             return;
         }
         if (failure != null) {
-            relay.dispatcher().health(runner.life()).unreachable(now());
+            relay.dispatcher().health(runner.incarnation()).unreachable(now());
             release();
             request.notRun(runner, "no connection");
             return;
         }
-        if (!relay.registry().usable(runner)) {
+        if (!relay.registry().isUsable(runner)) {
             relay.connections().idle(acquired);
             release();
             request.notRun(runner, "runner left meanwhile");
@@ -117,7 +117,7 @@
         }
         over = true;
         deliver();
-        relay.dispatcher().finished(runner.life());
+        relay.dispatcher().finished(runner.incarnation());
     }
 
     @Override
@@ -126,7 +126,7 @@
             return;
         }
         over = true;
-        relay.dispatcher().health(runner.life()).broken(now());
+        relay.dispatcher().health(runner.incarnation()).broken(now());
         if (streamBegun) {
             request.streamBroken(reason);
         } else if (mayHaveRun) {
@@ -134,13 +134,13 @@
         } else {
             request.notRun(runner, reason);
         }
-        relay.dispatcher().finished(runner.life());
+        relay.dispatcher().finished(runner.incarnation());
     }
 
     private void release() {
         if (!over) {
             over = true;
-            relay.dispatcher().finished(runner.life());
+            relay.dispatcher().finished(runner.incarnation());
         }
     }
 
@@ -150,7 +150,7 @@
             request.notRun(runner, "runner says not executed, status " + status);
             return;
         }
-        relay.dispatcher().health(runner.life()).answered();
+        relay.dispatcher().health(runner.incarnation()).answered();
         if (streamBegun) {
             if (events.sound()) {
                 request.streamEnded(runner, events);
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Tries.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Tries.java
@@ -52,6 +52,6 @@
 
     /** Whether there is a runner that it was not offered to yet. */
     boolean anyLeft(List<Runner> runners) {
-        return runners.stream().anyMatch(each -> !avoided.contains(each.life()));
+        return runners.stream().anyMatch(each -> !avoided.contains(each.incarnation()));
     }
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TurnRecord.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TurnRecord.java
@@ -43,7 +43,7 @@
     /** Reserves tokens and reads the chain; completes on the relay's loop and never fails. */
     CompletableFuture<BeginResult> begin(Duration patience) {
         OptionalInt budget = facts.program().isEmpty() ? OptionalInt.empty() : facts.budget();
-        String previous = route.keepsConversation() ? previousTurn() : "";
+        String previous = route.stateful() ? previousTurn() : "";
         BeginRequest begin = new BeginRequest(
                 program(), facts.id(), budget, facts.mostTokens(), previous, route.retention(), patience);
         return relay.conversations()
@@ -121,7 +121,7 @@
     CompletableFuture<Void> end(
             String runner, String service, byte[] input, EventStreamReader events, long leftMillis) {
         int tokens = tokensOf(events.events(), service);
-        if (!route.keepsConversation()) {
+        if (!route.stateful()) {
             return settle(runner, tokens);
         }
         Duration patience = Duration.ofMillis(Math.min(leftMillis, RelayLimits.COMMIT_MOST.toMillis()));
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/BrokenTurnTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/BrokenTurnTest.java
@@ -73,12 +73,12 @@
         loop = new NetworkLoop(threads, new SystemClock());
         registry = new Registry(loop, new ObjectDecoder() {
             @Override
-            public RoutingManifest manifest(byte[] content) {
+            public RoutingManifest decodeManifest(byte[] content) {
                 return BrokenTurnTest.manifest(content.length == 0);
             }
 
             @Override
-            public Runner runner(String name, byte[] content) {
+            public Runner decodeRunner(String name, byte[] content) {
                 return runner.entry();
             }
         });
@@ -162,8 +162,8 @@
     private void serve(Function<String, String> script) throws IOException {
         runner = new ScriptedRunner("r1", script);
         loop.execute(() -> {
-            registry.manifestChanged(List.of(new SharedObject("main", 1, false, new byte[0])));
-            registry.runnersChanged(List.of(new SharedObject("r1", 1, false, new byte[0])));
+            registry.applyManifestChanges(List.of(new SharedObject("main", 1, false, new byte[0])));
+            registry.applyRunnerChanges(List.of(new SharedObject("r1", 1, false, new byte[0])));
         });
     }
 
@@ -234,7 +234,8 @@
         serve(request -> STREAM.formatted("q1", 100, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"));
         try (Socket socket = send("q1", "Parsleydrift-Deadline-Ms: 700\r\n")) {
             awaitPassedOn(socket);
-            loop.execute(() -> registry.manifestChanged(List.of(new SharedObject("main", 2, false, new byte[] {1}))));
+            loop.execute(
+                    () -> registry.applyManifestChanges(List.of(new SharedObject("main", 2, false, new byte[] {1}))));
             socket.getInputStream().transferTo(OutputStream.nullOutputStream());
         } catch (SocketException reset) {
             // The broken stream ends with a reset or a close; either will do here.
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/DispatcherTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/DispatcherTest.java
@@ -96,12 +96,12 @@
         ManualScheduler time = new ManualScheduler();
         registry = new Registry(time.newLoop(), new ObjectDecoder() {
             @Override
-            public RoutingManifest manifest(byte[] content) {
+            public RoutingManifest decodeManifest(byte[] content) {
                 throw new UnsupportedOperationException();
             }
 
             @Override
-            public Runner runner(String name, byte[] content) {
+            public Runner decodeRunner(String name, byte[] content) {
                 return new Runner(name, "s", "10.0.0.1:1", "z", SLOTS, content.length > 0);
             }
         });
@@ -111,7 +111,7 @@
 
     private void runner(String id, boolean draining) {
         byte[] content = draining ? "d".getBytes(UTF_8) : new byte[0];
-        registry.runnersChanged(List.of(new SharedObject(id, ++revision, false, content)));
+        registry.applyRunnerChanges(List.of(new SharedObject(id, ++revision, false, content)));
     }
 
     /** A burst fills the runners; the rest waits here, and programs under way go before new ones. */
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RelayTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RelayTest.java
@@ -61,12 +61,12 @@
         loop = new NetworkLoop(threads, new SystemClock());
         registry = new Registry(loop, new ObjectDecoder() {
             @Override
-            public RoutingManifest manifest(byte[] content) {
+            public RoutingManifest decodeManifest(byte[] content) {
                 return RelayTest.manifest();
             }
 
             @Override
-            public Runner runner(String name, byte[] content) {
+            public Runner decodeRunner(String name, byte[] content) {
                 return entries.get(name);
             }
         });
@@ -148,11 +148,11 @@
 
     private void know(Runner runner) {
         entries.put(runner.id(), runner);
-        loop.execute(() -> registry.runnersChanged(List.of(new SharedObject(runner.id(), 1, false, new byte[0]))));
+        loop.execute(() -> registry.applyRunnerChanges(List.of(new SharedObject(runner.id(), 1, false, new byte[0]))));
     }
 
     private void knowManifest() {
-        loop.execute(() -> registry.manifestChanged(List.of(new SharedObject("main", 1, false, new byte[0]))));
+        loop.execute(() -> registry.applyManifestChanges(List.of(new SharedObject("main", 1, false, new byte[0]))));
     }
 
     private Socket send(String path, String more) throws IOException {
@@ -195,13 +195,13 @@
     @Test
     public void noRouteIsSaidOnlyUnderAManifestThatIsKnownToBeTheNewest() throws IOException {
         knowManifest();
-        loop.execute(() -> registry.manifestCurrent(false));
+        loop.execute(() -> registry.setManifestCurrent(false));
         String unsure = call("/added/", "Parsleydrift-Deadline-Ms: 5000\r\n");
         assertTrue(
                 unsure.startsWith("HTTP/1.1 503 ")
                         && unsure.toLowerCase(Locale.ROOT).contains("retry-after"),
                 unsure);
-        loop.execute(() -> registry.manifestCurrent(true));
+        loop.execute(() -> registry.setManifestCurrent(true));
         String sure = call("/added/", "Parsleydrift-Deadline-Ms: 5000\r\n");
         assertTrue(sure.startsWith("HTTP/1.1 404 "), sure);
     }
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestMatchTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestMatchTest.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalInt;
-import org.parsleydrift.registry.Allotment;
 import org.parsleydrift.registry.CallKind;
 import org.parsleydrift.registry.CallerLimits;
 import org.parsleydrift.registry.Destination;
+import org.parsleydrift.registry.Quota;
 import org.parsleydrift.registry.Route;
 import org.parsleydrift.registry.RoutingManifest;
 import org.parsleydrift.registry.Team;
@@ -23,7 +23,7 @@
     private static final RelayDialect DIALECT = RelayDialect.own();
 
     private static TeamKeys.Holder holder(String name, String key) {
-        return new TeamKeys.Holder(new Team(name, OptionalInt.empty(), Allotment.UNLIMITED), List.of(key));
+        return new TeamKeys.Holder(new Team(name, OptionalInt.empty(), Quota.UNLIMITED), List.of(key));
     }
 
     private static Route route(String prefix, boolean open) {
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/OutsideInterface.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/DeploymentPlugin.java
@@ -7,7 +7,7 @@
 import org.parsleydrift.wire.HttpClient;
 
 /** How callers, runners and the platform of one deployment speak; found by the service loader. Decides nothing. */
-public interface OutsideInterface {
+public interface DeploymentPlugin {
     /**
      * The name that settings choose it by.
      *
@@ -29,7 +29,7 @@
      * @param address where they are kept
      * @return the objects
      */
-    SharedObjects objects(HttpClient client, String address);
+    SharedObjects sharedObjects(HttpClient client, String address);
 
     /**
      * Reads contents of shared objects.
@@ -56,8 +56,8 @@
      * The answer to callers that ask which addresses to use.
      *
      * @param addresses the addresses
-     * @param keepSeconds how long to keep the answer, s
+     * @param cacheSeconds how long to keep the answer, s
      * @return JSON
      */
-    String directoryAnswer(List<String> addresses, int keepSeconds);
+    String directoryResponse(List<String> addresses, int cacheSeconds);
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
@@ -19,8 +19,8 @@
 import org.parsleydrift.kernel.StepException;
 import org.parsleydrift.placement.Allotments;
 import org.parsleydrift.registry.CallerLimits;
-import org.parsleydrift.registry.ObjectFollower;
 import org.parsleydrift.registry.ObjectKind;
+import org.parsleydrift.registry.ObjectWatcher;
 import org.parsleydrift.registry.Registry;
 import org.parsleydrift.registry.RoutingManifest;
 import org.parsleydrift.registry.SharedObject;
@@ -61,7 +61,7 @@
     private final FollowedObjects runners;
     private final FollowedObjects manifests;
     private final FollowedObjects storeSets;
-    private final ObjectFollower nodes;
+    private final ObjectWatcher nodes;
     private final CallerServer callers;
     private volatile boolean draining;
     private boolean entrySought;
@@ -96,8 +96,9 @@
                 parts.outside.dialect(),
                 parts.random,
                 parts.meters);
-        runners = followed(ObjectKind.RUNNERS, listener(registry::runnersChanged, registry::platformReached));
-        manifests = followed(ObjectKind.MANIFEST, listener(registry::manifestChanged, registry::manifestCurrent));
+        runners = followed(ObjectKind.RUNNERS, listener(registry::applyRunnerChanges, registry::setPlatformReachable));
+        manifests =
+                followed(ObjectKind.MANIFEST, listener(registry::applyManifestChanges, registry::setManifestCurrent));
         storeSets = followed(ObjectKind.STORE_SET, listener(this::storeSetChanged, reached -> {}));
         nodes = parts.follow(
                 ObjectKind.NODES, RARE_WATCH_WAIT, new VersionedTable(), listener(this::nodesChanged, reached -> {}));
@@ -203,7 +204,7 @@
             exchange.respond(503, "text/plain", "", Map.of("Retry-After", "0.3"));
             return;
         }
-        exchange.respond(200, "application/json", parts.outside.directoryAnswer(addresses, KEEP_SECONDS), Map.of());
+        exchange.respond(200, "application/json", parts.outside.directoryResponse(addresses, KEEP_SECONDS), Map.of());
     }
 
     private void receive(byte[] frame) {
@@ -291,22 +292,22 @@
                 }));
     }
 
-    private static ObjectFollower.Listener listener(
+    private static ObjectWatcher.Listener listener(
             Consumer<List<SharedObject>> news, Consumer<Boolean> platformReached) {
-        return new ObjectFollower.Listener() {
+        return new ObjectWatcher.Listener() {
             @Override
-            public void changed(List<SharedObject> changed) {
+            public void onChanges(List<SharedObject> changed) {
                 news.accept(changed);
             }
 
             @Override
-            public void reached(boolean reached) {
+            public void onReachabilityChanged(boolean reached) {
                 platformReached.accept(reached);
             }
         };
     }
 
-    private FollowedObjects followed(ObjectKind kind, ObjectFollower.Listener listener) {
+    private FollowedObjects followed(ObjectKind kind, ObjectWatcher.Listener listener) {
         FollowedObjects objects =
                 new FollowedObjects(kind, parts.objects, parts.loop, parts.random, WATCH_WAIT, listener);
         objects.measure(parts.meters);
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/FollowedObjects.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/FollowedObjects.java
@@ -9,8 +9,8 @@
 import java.util.random.RandomGenerator;
 import org.parsleydrift.kernel.EventLoop;
 import org.parsleydrift.registry.ObjectChanges;
-import org.parsleydrift.registry.ObjectFollower;
 import org.parsleydrift.registry.ObjectKind;
+import org.parsleydrift.registry.ObjectWatcher;
 import org.parsleydrift.registry.SharedObject;
 import org.parsleydrift.registry.SharedObjects;
 import org.parsleydrift.registry.VersionedTable;
@@ -19,8 +19,8 @@
 final class FollowedObjects implements FollowedKind {
     private final ObjectKind kind;
     private final VersionedTable table = new VersionedTable();
-    private final ObjectFollower follower;
-    private final ObjectFollower.Listener listener;
+    private final ObjectWatcher follower;
+    private final ObjectWatcher.Listener listener;
     private Consumer<List<SharedObject>> newsTaker = news -> {};
 
     FollowedObjects(
@@ -29,18 +29,18 @@
             EventLoop loop,
             RandomGenerator random,
             Duration longestWait,
-            ObjectFollower.Listener listener) {
+            ObjectWatcher.Listener listener) {
         this.kind = kind;
         this.listener = listener;
-        follower = new ObjectFollower(kind, objects, loop, random, longestWait, table, new ObjectFollower.Listener() {
+        follower = new ObjectWatcher(kind, objects, loop, random, longestWait, table, new ObjectWatcher.Listener() {
             @Override
-            public void changed(List<SharedObject> news) {
+            public void onChanges(List<SharedObject> news) {
                 tellNews(news);
             }
 
             @Override
-            public void reached(boolean reached) {
-                listener.reached(reached);
+            public void onReachabilityChanged(boolean reached) {
+                listener.onReachabilityChanged(reached);
             }
         });
     }
@@ -48,7 +48,7 @@
     private void tellNews(List<SharedObject> news) {
         // First: peers must learn of an entry that this node's own listener trips over.
         newsTaker.accept(news);
-        listener.changed(news);
+        listener.onChanges(news);
     }
 
     void start() {
@@ -83,7 +83,7 @@
 
     @Override
     public void lookAtAge(Duration checkAfter) {
-        follower.lookAtAge(checkAfter);
+        follower.checkIfStale(checkAfter);
     }
 
     @Override
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ProcessParts.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/ProcessParts.java
@@ -10,8 +10,8 @@
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 import org.parsleydrift.kernel.SystemClock;
-import org.parsleydrift.registry.ObjectFollower;
 import org.parsleydrift.registry.ObjectKind;
+import org.parsleydrift.registry.ObjectWatcher;
 import org.parsleydrift.registry.SharedObjects;
 import org.parsleydrift.registry.VersionedTable;
 import org.parsleydrift.wire.HttpClient;
@@ -32,7 +32,7 @@
     final NetworkLoop loop = new NetworkLoop(threads, new SystemClock());
     final RandomGenerator random;
     final PrometheusMeterRegistry meters = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    final OutsideInterface outside;
+    final DeploymentPlugin outside;
     final SharedObjects objects;
 
     ProcessParts(RoleSettings settings) {
@@ -40,13 +40,13 @@
         // Ties and pauses only; a secure generator would lengthen the start.
         this.random = new SplittableRandom(
                 settings.vm().hashCode() * PRIME + loop.clock().instant().toEpochMilli());
-        this.outside = ServiceLoader.load(OutsideInterface.class).stream()
+        this.outside = ServiceLoader.load(DeploymentPlugin.class).stream()
                 .map(ServiceLoader.Provider::get)
                 .filter(each -> each.name().equals(settings.outside()))
                 .findFirst()
                 .orElseThrow(() ->
                         new StepException(Step.CONFIGURE, "settings", "no plug-in named '" + settings.outside() + "'"));
-        this.objects = new MeteredObjects(outside.objects(new HttpClient(threads), settings.platform()), meters);
+        this.objects = new MeteredObjects(outside.sharedObjects(new HttpClient(threads), settings.platform()), meters);
         serve(settings.metrics(), METRICS_CONNECTIONS, exchange -> {
             if (exchange.path().equals("/metrics")) {
                 exchange.respond(200, "text/plain", meters.scrape(), Map.of());
@@ -61,7 +61,7 @@
         return new HttpServer(threads, address.host(), address.port(), connections, handler);
     }
 
-    ObjectFollower follow(ObjectKind kind, Duration wait, VersionedTable table, ObjectFollower.Listener listener) {
-        return new ObjectFollower(kind, objects, loop, random, wait, table, listener);
+    ObjectWatcher follow(ObjectKind kind, Duration wait, VersionedTable table, ObjectWatcher.Listener listener) {
+        return new ObjectWatcher(kind, objects, loop, random, wait, table, listener);
     }
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/StoreRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/StoreRole.java
@@ -12,8 +12,8 @@
 import org.parsleydrift.conversation.StoreSetController;
 import org.parsleydrift.kernel.LogLine;
 import org.parsleydrift.kernel.SystemClock;
-import org.parsleydrift.registry.ObjectFollower;
 import org.parsleydrift.registry.ObjectKind;
+import org.parsleydrift.registry.ObjectWatcher;
 import org.parsleydrift.registry.SharedObject;
 import org.parsleydrift.registry.VersionedTable;
 
@@ -61,7 +61,7 @@
     public void start() {
         parts.loop.execute(() -> {
             replica.start(calls);
-            ObjectFollower sets = follower(ObjectKind.STORE_SET, keeper::onSetChanged);
+            ObjectWatcher sets = follower(ObjectKind.STORE_SET, keeper::onSetChanged);
             keeper.setWatchListener(sets::follow);
             sets.start();
             follower(ObjectKind.RETIREMENTS, keeper::onRetirementsChanged).start();
@@ -86,15 +86,15 @@
         calls.receive(frame);
     }
 
-    private ObjectFollower follower(ObjectKind kind, Consumer<List<SharedObject>> news) {
-        return parts.follow(kind, WATCH_WAIT, new VersionedTable(), new ObjectFollower.Listener() {
+    private ObjectWatcher follower(ObjectKind kind, Consumer<List<SharedObject>> news) {
+        return parts.follow(kind, WATCH_WAIT, new VersionedTable(), new ObjectWatcher.Listener() {
             @Override
-            public void changed(List<SharedObject> changed) {
+            public void onChanges(List<SharedObject> changed) {
                 news.accept(changed);
             }
 
             @Override
-            public void reached(boolean reached) {
+            public void onReachabilityChanged(boolean reached) {
                 // The follower has logged it; the set stays as it is until the platform is back.
             }
         });
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshMember.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshMember.java
@@ -17,8 +17,8 @@
 import org.parsleydrift.placement.Allotments;
 import org.parsleydrift.registry.ObjectChanges;
 import org.parsleydrift.registry.ObjectDecoder;
-import org.parsleydrift.registry.ObjectFollower;
 import org.parsleydrift.registry.ObjectKind;
+import org.parsleydrift.registry.ObjectWatcher;
 import org.parsleydrift.registry.Registry;
 import org.parsleydrift.registry.RoutingManifest;
 import org.parsleydrift.registry.Runner;
@@ -75,12 +75,12 @@
         identity = new NodeIdentity(name, zone, name + ":80", name);
         Registry registry = new Registry(loop, new ObjectDecoder() {
             @Override
-            public RoutingManifest manifest(byte[] content) {
+            public RoutingManifest decodeManifest(byte[] content) {
                 throw new UnsupportedOperationException();
             }
 
             @Override
-            public Runner runner(String runner, byte[] content) {
+            public Runner decodeRunner(String runner, byte[] content) {
                 throw new UnsupportedOperationException();
             }
         });
@@ -112,14 +112,14 @@
 
     private FollowedObjects followed(ObjectKind kind, SharedObjects platform) {
         FollowedObjects objects =
-                new FollowedObjects(kind, platform, loop, random, EntryRole.WATCH_WAIT, new ObjectFollower.Listener() {
+                new FollowedObjects(kind, platform, loop, random, EntryRole.WATCH_WAIT, new ObjectWatcher.Listener() {
                     @Override
-                    public void changed(List<SharedObject> news) {
+                    public void onChanges(List<SharedObject> news) {
                         news.forEach(each -> newest.merge(kind, each.revision(), Math::max));
                     }
 
                     @Override
-                    public void reached(boolean reached) {
+                    public void onReachabilityChanged(boolean reached) {
                         silences += reached ? 0 : 1;
                     }
                 });
--- a/parsleydrift-standin/src/test/java/org/parsleydrift/registry/RegistryFollowingTest.java
+++ b/parsleydrift-standin/src/test/java/org/parsleydrift/registry/RegistryFollowingTest.java
@@ -32,48 +32,48 @@
         objects = new InMemorySharedObjects(time.newLoop(), Duration.ofMillis(4));
         registry = new Registry(loop, new ObjectDecoder() {
             @Override
-            public RoutingManifest manifest(byte[] content) {
+            public RoutingManifest decodeManifest(byte[] content) {
                 long version = Long.parseLong(new String(content, UTF_8));
                 return new RoutingManifest(version, List.of(), List.of(), CallerLimits.defaults());
             }
 
             @Override
-            public Runner runner(String name, byte[] content) {
+            public Runner decodeRunner(String name, byte[] content) {
                 boolean draining = new String(content, UTF_8).equals("draining");
                 return new Runner(name, "s", "10.0.0.1:1", "z", 6, draining);
             }
         });
-        start(loop, ObjectKind.RUNNERS, registry::runnersChanged);
-        start(loop, ObjectKind.MANIFEST, registry::manifestChanged);
+        start(loop, ObjectKind.RUNNERS, registry::applyRunnerChanges);
+        start(loop, ObjectKind.MANIFEST, registry::applyManifestChanges);
         runner("r1", "ready");
         time.advance(Duration.ofSeconds(1));
     }
 
     private boolean usable(String id) {
-        return registry.usable(new Runner(id, "s", "10.0.0.1:1", "z", 6, false));
+        return registry.isUsable(new Runner(id, "s", "10.0.0.1:1", "z", 6, false));
     }
 
     private void start(ManualEventLoop loop, ObjectKind kind, java.util.function.Consumer<List<SharedObject>> news) {
-        ObjectFollower follower = new ObjectFollower(
+        ObjectWatcher follower = new ObjectWatcher(
                 kind,
                 objects,
                 loop,
                 new Random(1),
                 Duration.ofSeconds(8),
                 new VersionedTable(),
-                new ObjectFollower.Listener() {
+                new ObjectWatcher.Listener() {
                     @Override
-                    public void changed(List<SharedObject> changed) {
+                    public void onChanges(List<SharedObject> changed) {
                         news.accept(changed);
                     }
 
                     @Override
-                    public void reached(boolean reached) {
-                        registry.platformReached(reached);
+                    public void onReachabilityChanged(boolean reached) {
+                        registry.setPlatformReachable(reached);
                     }
                 });
         follower.start();
-        loop.every(AGE_PERIOD, () -> follower.lookAtAge(CHECK_AGE));
+        loop.every(AGE_PERIOD, () -> follower.checkIfStale(CHECK_AGE));
     }
 
     private void runner(String id, String state) {
