--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionRun.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionRun.java
@@ -9,9 +9,9 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.IntStream;
 import org.HdrHistogram.Histogram;
+import org.parsleydrift.placement.CachedPart;
 import org.parsleydrift.placement.Candidate;
-import org.parsleydrift.placement.HeldPart;
-import org.parsleydrift.placement.PromptMemory;
+import org.parsleydrift.placement.PromptCacheIndex;
 import org.parsleydrift.placement.PromptPart;
 import org.parsleydrift.registry.Runner;
 
@@ -37,7 +37,7 @@
     private final List<EngineModel> engines = new ArrayList<>();
     private final List<Runner> runners = new ArrayList<>();
     private final List<Node> nodes = new ArrayList<>();
-    private final Map<String, List<HeldPart>> heard = new HashMap<>();
+    private final Map<String, List<CachedPart>> heard = new HashMap<>();
     private final Map<String, String> lastEngine = new HashMap<>();
     private final RandomGenerator ties;
     private final Policy policy;
@@ -52,7 +52,7 @@
     private final class Node {
         private final int[] own = new int[shape.engines()];
         private final int[] told = new int[shape.engines()];
-        private final PromptMemory memory = new PromptMemory();
+        private final PromptCacheIndex memory = new PromptCacheIndex();
         private final List<Turn> waiting = new ArrayList<>();
         private double usualMissing = FIRST_USUAL_MISSING;
 
@@ -61,11 +61,11 @@
         }
 
         private void place(Turn turn) {
-            List<HeldPart> known = policy.hears() ? heard.getOrDefault(turn.program, List.of()) : List.of();
+            List<CachedPart> known = policy.hears() ? heard.getOrDefault(turn.program, List.of()) : List.of();
             List<Candidate> candidates = IntStream.range(0, shape.engines())
                     .mapToObj(engine -> {
                         String life = runners.get(engine).incarnation();
-                        int missing = memory.missing(life, turn.prompt, known, time.nanos());
+                        int missing = memory.uncachedTokens(life, turn.prompt, known, time.nanos());
                         return new Candidate(runners.get(engine), load(engine), false, false, missing);
                     })
                     .toList();
@@ -81,8 +81,8 @@
         private void take(Turn turn, Candidate chosen, int engine) {
             placements++;
             own[engine]++;
-            usualMissing += USUAL_WEIGHT * (chosen.missingTokens() - usualMissing);
-            memory.sent(chosen.runner().incarnation(), turn.prompt, time.nanos());
+            usualMissing += USUAL_WEIGHT * (chosen.uncachedTokens() - usualMissing);
+            memory.recordSent(chosen.runner().incarnation(), turn.prompt, time.nanos());
             promptTokens += turn.prompt.stream().mapToInt(PromptPart::tokens).sum();
             engines.get(engine).submit(new EngineModel.Run(turn.prompt, turn.script.outputTokens(), () -> {
                 own[engine]--;
@@ -119,7 +119,7 @@
             turnMillis.recordValue((long) (time.millis() - sinceMillis));
             PromptPart line = prompt.getLast();
             heard.computeIfAbsent(program, any -> new ArrayList<>())
-                    .add(new HeldPart(life, line.id(), line.tokens() + script.outputTokens()));
+                    .add(new CachedPart(life, line.id(), line.tokens() + script.outputTokens()));
             lastEngine.put(program, life);
             time.after(WAY_MILLIS + script.pauseMillis(), then);
         }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/HeldPart.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/CachedPart.java
@@ -7,4 +7,4 @@
  * @param part the part's id
  * @param tokens tokens of it that the runner holds
  */
-public record HeldPart(String runner, String part, int tokens) {}
+public record CachedPart(String runner, String part, int tokens) {}
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PeerUse.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PeerUse.java
@@ -13,18 +13,18 @@
 final class PeerUse {
     private final long windowNanos;
     private final Map<String, Told> told = new HashMap<>();
-    private UseReport total = UseReport.NONE;
+    private UsageReport total = UsageReport.NONE;
 
     PeerUse(Duration window) {
         windowNanos = window.toNanos();
     }
 
-    private record Told(UseReport newest, UseReport fullest, long fullestNanos) {}
+    private record Told(UsageReport newest, UsageReport fullest, long fullestNanos) {}
 
-    void tell(Map<String, UseReport> reports, long now) {
+    void tell(Map<String, UsageReport> reports, long now) {
         reports.forEach((from, report) -> told.put(from, next(told.get(from), report, now)));
         told.values().removeIf(each -> each.newest().nodes() == 0 && now - each.fullestNanos() > windowNanos);
-        total = told.values().stream().map(each -> believed(each, now)).reduce(UseReport.NONE, UseReport::plus);
+        total = told.values().stream().map(each -> believed(each, now)).reduce(UsageReport.NONE, UsageReport::plus);
     }
 
     /** Forgets what some told: it is told by others from now on. */
@@ -33,17 +33,17 @@
     }
 
     /** The use at all other nodes that was told. */
-    UseReport total() {
+    UsageReport total() {
         return total;
     }
 
-    private static Told next(Told former, UseReport report, long now) {
+    private static Told next(Told former, UsageReport report, long now) {
         return former == null || report.nodes() >= former.fullest().nodes()
                 ? new Told(report, report, now)
                 : new Told(report, former.fullest(), former.fullestNanos());
     }
 
-    private UseReport believed(Told each, long now) {
+    private UsageReport believed(Told each, long now) {
         if (each.newest().equals(each.fullest())) {
             return each.newest();
         }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PromptMemory.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/PromptCacheIndex.java
@@ -12,7 +12,7 @@
  * third of the time went into such reading. Lines that other nodes have sent are known from the program's grants.
  * Confined to one loop.
  */
-public final class PromptMemory {
+public final class PromptCacheIndex {
     /**
      * A part that was not sent for this long is taken as dropped, ns. A line's next turn comes within a second or two, and
      * a runner with room for some fifty lines has read as many others in about five.
@@ -32,7 +32,7 @@
      * @param prompt the parts
      * @param nowNanos the time
      */
-    public void sent(String runner, List<PromptPart> prompt, long nowNanos) {
+    public void recordSent(String runner, List<PromptPart> prompt, long nowNanos) {
         Map<String, Sent> parts = byRunner.computeIfAbsent(runner, any -> new RecentParts());
         prompt.forEach(each -> parts.put(each.id(), new Sent(each.tokens(), nowNanos)));
     }
@@ -42,7 +42,7 @@
      *
      * @param lives those that are still known
      */
-    public void keepOnly(Set<String> lives) {
+    public void retainRunners(Set<String> lives) {
         byRunner.keySet().retainAll(lives);
     }
 
@@ -55,7 +55,7 @@
      * @param nowNanos the time
      * @return tokens
      */
-    public int missing(String runner, List<PromptPart> prompt, List<HeldPart> heard, long nowNanos) {
+    public int uncachedTokens(String runner, List<PromptPart> prompt, List<CachedPart> heard, long nowNanos) {
         Map<String, Sent> parts = byRunner.getOrDefault(runner, Map.of());
         int total = prompt.stream().mapToInt(PromptPart::tokens).sum();
         int after = 0;
@@ -73,10 +73,10 @@
         return sent != null && nowNanos - sent.atNanos() < KEPT_NANOS ? sent.tokens() : 0;
     }
 
-    private static int heard(String runner, PromptPart part, List<HeldPart> heard) {
+    private static int heard(String runner, PromptPart part, List<CachedPart> heard) {
         return heard.stream()
                 .filter(each -> each.part().equals(part.id()) && each.runner().equals(runner))
-                .mapToInt(HeldPart::tokens)
+                .mapToInt(CachedPart::tokens)
                 .max()
                 .orElse(0);
     }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/AllotmentRule.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/QuotaPolicy.java
@@ -8,9 +8,9 @@
  * fleet that aims at the limit itself is above it now and then; it aims inside the tolerance.
  *
  * @param window the span in which requests are counted
- * @param slack requests beyond the limit that are borne
+ * @param tolerance requests beyond the limit that are borne
  */
-public record AllotmentRule(Duration window, double slack) {
+public record QuotaPolicy(Duration window, double tolerance) {
     /** Share of the slack that is given out: without it a small team, at its limit, would be held to less by what is unheard. */
     private static final double SLACK_GIVEN_OUT = 0.5;
 
@@ -25,7 +25,7 @@
      * time, and a fleet that forgets all it has counted can go on at the rate.
      */
     double late(Quota allotment) {
-        return allotment.maxRequests(seconds() / 2) + slack;
+        return allotment.maxRequests(seconds() / 2) + tolerance;
     }
 
     /**
@@ -36,13 +36,13 @@
      * @param unseen share of the window that lies before the starts of nodes, 0 to 1
      */
     double whole(Quota allotment, double unseen) {
-        double above = allotment.burst() + SLACK_GIVEN_OUT * slack;
+        double above = allotment.burst() + SLACK_GIVEN_OUT * tolerance;
         return allotment.ratePerSecond() * seconds() * (1 - unseen) + above * known(unseen);
     }
 
     /** Requests that may run beyond what is given out, for want of hearing of others in time; none where much is unseen. */
     double unheard(double unseen) {
-        return SLACK_FOR_UNHEARD * slack * known(unseen);
+        return SLACK_FOR_UNHEARD * tolerance * known(unseen);
     }
 
     /** Whether so little of the window is unseen that requests may pass without being drawn. */
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/Allotments.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/QuotaTracker.java
@@ -22,7 +22,7 @@
  *
  * <p>Confined to one loop.
  */
-public final class Allotments {
+public final class QuotaTracker {
     /** Time over which free places are given out where more ask, s: some times as long as use takes to be heard. */
     private static final double SPREAD_SECONDS = 1.2;
     /** Part of the span of asking for which others' asking is not heard yet. */
@@ -38,7 +38,7 @@
 
     private final LongSupplier nanos;
     private final RandomGenerator random;
-    private final AllotmentRule rule;
+    private final QuotaPolicy rule;
     private final BooleanSupplier hearsPeers;
     private final long startNanos;
     private final Map<String, TeamCounts> own = new HashMap<>();
@@ -53,7 +53,7 @@
      * @param rule how requests are counted
      * @param hearsPeers whether this node hears other nodes, or knows that there is none
      */
-    public Allotments(LongSupplier nanos, RandomGenerator random, AllotmentRule rule, BooleanSupplier hearsPeers) {
+    public QuotaTracker(LongSupplier nanos, RandomGenerator random, QuotaPolicy rule, BooleanSupplier hearsPeers) {
         this.nanos = nanos;
         this.random = random;
         this.rule = rule;
@@ -67,7 +67,7 @@
      *
      * @param reports by node or zone; one of no node for one that is gone
      */
-    public void peers(Map<String, UseReport> reports) {
+    public void updatePeers(Map<String, UsageReport> reports) {
         peers.tell(reports, nanos.getAsLong());
     }
 
@@ -76,7 +76,7 @@
      *
      * @param tellers nodes or zones
      */
-    public void movedFrom(Set<String> tellers) {
+    public void forgetReporters(Set<String> tellers) {
         peers.movedFrom(tellers);
     }
 
@@ -85,13 +85,13 @@
      *
      * @return its own use
      */
-    public UseReport report() {
-        Map<String, TeamUse> uses = own.entrySet().stream()
+    public UsageReport report() {
+        Map<String, TeamUsage> uses = own.entrySet().stream()
                 .collect(Collectors.toMap(
                         Map.Entry::getKey, each -> each.getValue().use()));
-        uses.values().removeIf(TeamUse::isNone);
+        uses.values().removeIf(TeamUsage::isNone);
         own.keySet().retainAll(uses.keySet());
-        return new UseReport(1, unseenMillis(), uses);
+        return new UsageReport(1, unseenMillis(), uses);
     }
 
     /**
@@ -100,8 +100,8 @@
      * @param team the team
      * @return true at its limit
      */
-    public boolean full(Team team) {
-        return team.quota().isLimited() && free(team, use(team).ran()) < 1;
+    public boolean isExhausted(Team team) {
+        return team.quota().isLimited() && free(team, use(team).sent()) < 1;
     }
 
     /**
@@ -110,9 +110,9 @@
      * @param team its team
      * @return the time, not spread yet
      */
-    public Duration comeBack(Team team) {
+    public Duration retryAfter(Team team) {
         double over = Math.max(
-                1, perSecond(use(team).asked()) / Math.max(1, team.quota().ratePerSecond()));
+                1, perSecond(use(team).newDemand()) / Math.max(1, team.quota().ratePerSecond()));
         long millis = (long) (COME_BACK.toMillis() * over);
         return Duration.ofMillis(Math.min(COME_BACK_MOST.toMillis(), millis));
     }
@@ -125,14 +125,14 @@
      * @param ofProgram whether it belongs to a program, which will need more places
      * @return whether it may run
      */
-    public AllotmentRuling ask(Team team, boolean underWay, boolean ofProgram) {
+    public QuotaDecision acquire(Team team, boolean underWay, boolean ofProgram) {
         boolean begins = !underWay && ofProgram;
         if (!team.quota().isLimited()) {
             need.let(begins);
-            return AllotmentRuling.UNLIMITED;
+            return QuotaDecision.UNLIMITED;
         }
         if (!hearsPeers.getAsBoolean()) {
-            return new AllotmentRuling.Unsure();
+            return new QuotaDecision.Undetermined();
         }
         TeamCounts counts = own.computeIfAbsent(team.name(), any -> new TeamCounts(nanos, rule.window()));
         int needed = begins ? need.requests() : 1;
@@ -141,9 +141,9 @@
         } else {
             counts.asked(needed);
         }
-        boolean passes = !full(team) && (underWay ? maySpend(team) : mayBegin(team));
+        boolean passes = !isExhausted(team) && (underWay ? maySpend(team) : mayBegin(team));
         if (!passes) {
-            return new AllotmentRuling.Over(comeBack(team));
+            return new QuotaDecision.Exceeded(retryAfter(team));
         }
         need.let(begins);
         if (!underWay) {
@@ -151,21 +151,25 @@
         }
         long now = nanos.getAsLong();
         counts.ran(now, 1);
-        return new AllotmentRuling.Allowed(Optional.of(new AllottedPlace(counts, now)));
+        return new QuotaDecision.Allowed(Optional.of(new QuotaCharge(counts, now)));
     }
 
     /** For a request of a program under way. */
     private boolean maySpend(Team team) {
-        TeamUse use = use(team);
+        TeamUsage use = use(team);
         return drawn(
-                free(team, use.ran()), use.ran(), use.pressed(), others(team).pressed());
+                free(team, use.sent()),
+                use.sent(),
+                use.inProgressDemand(),
+                others(team).inProgressDemand());
     }
 
     /** For a program's first request, or one of none. */
     private boolean mayBegin(Team team) {
-        TeamUse use = use(team);
+        TeamUsage use = use(team);
         double free = free(team, use.planned());
-        return free > 0 && drawn(free, use.planned(), use.asked(), others(team).asked());
+        return free > 0
+                && drawn(free, use.planned(), use.newDemand(), others(team).newDemand());
     }
 
     /**
@@ -173,13 +177,13 @@
      * node sees the same ones, and would fill them all before it hears of the others. What leaves the window is free, too. As
      * many as others let ask are taken to have asked there since unheard.
      */
-    private boolean drawn(double free, Windowed taken, int asking, int askingOthers) {
+    private boolean drawn(double free, WindowCounts taken, int asking, int askingOthers) {
         double leavingPerSecond = LEAVING_SHARE
-                * taken.leaving()
-                / (Windowed.LEAVING_PART * rule.window().toMillis() / 1000.0);
+                * taken.expiring()
+                / (WindowCounts.LEAVING_PART * rule.window().toMillis() / 1000.0);
         double unseen = unseenShare();
         boolean allMayPass =
-                AllotmentRule.wellKnown(unseen) && asking + UNHEARD_SHARE * askingOthers <= free + rule.unheard(unseen);
+                QuotaPolicy.wellKnown(unseen) && asking + UNHEARD_SHARE * askingOthers <= free + rule.unheard(unseen);
         return allMayPass || random.nextDouble() * perSecond(asking) < free / SPREAD_SECONDS + leavingPerSecond;
     }
 
@@ -187,23 +191,23 @@
         return asking * 1000.0 / TeamCounts.ASKED_SPAN.toMillis();
     }
 
-    private TeamUse use(Team team) {
+    private TeamUsage use(Team team) {
         TeamCounts counts = own.get(team.name());
         return counts == null ? others(team) : others(team).plus(counts.use());
     }
 
-    private TeamUse others(Team team) {
+    private TeamUsage others(Team team) {
         return peers.total().of(team.name());
     }
 
-    private double free(Team team, Windowed taken) {
-        double late = rule.late(team.quota()) - taken.late();
-        double whole = rule.whole(team.quota(), unseenShare()) - taken.whole();
+    private double free(Team team, WindowCounts taken) {
+        double late = rule.late(team.quota()) - taken.recent();
+        double whole = rule.whole(team.quota(), unseenShare()) - taken.total();
         return Math.min(late, whole);
     }
 
     private double unseenShare() {
-        int unseen = peers.total().unseenMillis() + unseenMillis();
+        int unseen = peers.total().unobservedMillis() + unseenMillis();
         double spanMillis = (double) rule.window().toMillis() * (peers.total().nodes() + 1);
         return Math.min(1, unseen / spanMillis);
     }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RetryBudget.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RetryBudget.java
@@ -18,7 +18,7 @@
     private double inHand = RESERVE;
 
     /** A request was offered to its first runner. */
-    public void firstTry() {
+    public void recordFirstAttempt() {
         inHand = Math.min(RESERVE, inHand + SHARE);
     }
 
@@ -27,7 +27,7 @@
      *
      * @return whether the request may be sent again
      */
-    public boolean take() {
+    public boolean tryAcquire() {
         boolean granted = inHand >= 1;
         if (granted) {
             inHand--;
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerChoice.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerChoice.java
@@ -79,18 +79,18 @@
 
     private static List<Candidate> draw(
             List<Candidate> candidates, int drawn, boolean prompted, RandomGenerator random) {
-        int most = candidates.stream().mapToInt(Candidate::missingTokens).max().orElse(0);
-        Stream<Candidate> holding = candidates.stream().filter(each -> each.missingTokens() < most);
+        int most = candidates.stream().mapToInt(Candidate::uncachedTokens).max().orElse(0);
+        Stream<Candidate> holding = candidates.stream().filter(each -> each.uncachedTokens() < most);
         List<Candidate> free = candidates.stream()
-                .filter(each -> each.missingTokens() == most && !each.suspended())
-                .filter(each -> each.load() < each.most(prompted))
+                .filter(each -> each.uncachedTokens() == most && !each.suspended())
+                .filter(each -> each.load() < each.maxLoad(prompted))
                 .toList();
         // Plain requests stay near while there are places; drawn among all they would rarely meet a near runner.
         Stream<Candidate> others = prompted
                 ? someOf(free, drawn, random)
                 : Stream.concat(
-                        someOf(free.stream().filter(Candidate::near).toList(), drawn, random),
-                        someOf(free.stream().filter(each -> !each.near()).toList(), drawn, random));
+                        someOf(free.stream().filter(Candidate::sameZone).toList(), drawn, random),
+                        someOf(free.stream().filter(each -> !each.sameZone()).toList(), drawn, random));
         List<Candidate> met = Stream.concat(holding, others).toList();
         return met.isEmpty() ? candidates : met;
     }
@@ -112,13 +112,13 @@
         return candidates.stream()
                 // When all have failed, one of them must be tried: leaving a whole service alone serves nobody.
                 .filter(each -> !anyHealthy || !each.suspended())
-                .filter(each -> !anywhere || each.load() < each.most(prompted))
+                .filter(each -> !anywhere || each.load() < each.maxLoad(prompted))
                 .map(each -> new Drawn(each, cost(each, largest, usualMissing), random.nextDouble()))
                 .min(Comparator.comparingDouble(Drawn::cost)
-                        .thenComparing(each -> !each.candidate().near())
+                        .thenComparing(each -> !each.candidate().sameZone())
                         .thenComparingDouble(Drawn::lot))
                 .map(Drawn::candidate)
-                .filter(each -> each.load() < each.most(prompted));
+                .filter(each -> each.load() < each.maxLoad(prompted));
     }
 
     /** In tokens that somebody waits for to be read; in requests where there are no prompts. */
@@ -127,9 +127,9 @@
                 * largest
                 / Math.max(1, candidate.runner().slots());
         if (usualMissing > 0) {
-            return candidate.missingTokens() * (1 + beside) + beside * usualMissing;
+            return candidate.uncachedTokens() * (1 + beside) + beside * usualMissing;
         }
-        boolean nearWithPlaces = candidate.near()
+        boolean nearWithPlaces = candidate.sameZone()
                 && candidate.load() * FREE_SHARE < candidate.runner().slots();
         return nearWithPlaces ? beside - NEAR_REQUESTS : beside;
     }
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerHealth.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/RunnerHealth.java
@@ -20,7 +20,7 @@
     private boolean resting;
 
     /** An answer came whole. */
-    public void answered() {
+    public void recordSuccess() {
         failures = 0;
         brokenAnswers = 0;
         resting = false;
@@ -31,7 +31,7 @@
      *
      * @param nowNanos the time
      */
-    public void unreachable(long nowNanos) {
+    public void recordConnectFailure(long nowNanos) {
         rest(nowNanos);
     }
 
@@ -40,7 +40,7 @@
      *
      * @param nowNanos the time
      */
-    public void broken(long nowNanos) {
+    public void recordBrokenResponse(long nowNanos) {
         brokenAnswers++;
         if (brokenAnswers > BROKEN_ANSWERS_BORNE) {
             rest(nowNanos);
@@ -53,7 +53,7 @@
      * @param nowNanos the time
      * @return whether it is
      */
-    public boolean suspended(long nowNanos) {
+    public boolean isSuspended(long nowNanos) {
         return resting && restUntilNanos - nowNanos > 0;
     }
 
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/SlidingCount.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/SlidingCount.java
@@ -11,7 +11,7 @@
 final class SlidingCount {
     private static final int SLOTS = 50;
     /** Slots of this age and above leave next. */
-    private static final int OLD_SLOTS = SLOTS - (int) (SLOTS * Windowed.LEAVING_PART);
+    private static final int OLD_SLOTS = SLOTS - (int) (SLOTS * WindowCounts.LEAVING_PART);
 
     private final long slotNanos;
     private final int[] counts = new int[SLOTS + 1];
@@ -40,11 +40,12 @@
     }
 
     /** The sum, and those of its parts. */
-    Windowed windowed(long nowNanos) {
+    WindowCounts windowed(long nowNanos) {
         int whole = sum(nowNanos);
         return whole == 0
-                ? Windowed.NONE
-                : new Windowed(whole, between(newest - SLOTS / 2, newest), between(newest - SLOTS, newest - OLD_SLOTS));
+                ? WindowCounts.NONE
+                : new WindowCounts(
+                        whole, between(newest - SLOTS / 2, newest), between(newest - SLOTS, newest - OLD_SLOTS));
     }
 
     private int between(long first, long last) {
--- a/parsleydrift-placement/src/main/java/org/parsleydrift/placement/TeamCounts.java
+++ b/parsleydrift-placement/src/main/java/org/parsleydrift/placement/TeamCounts.java
@@ -40,8 +40,8 @@
         pressed.add(now(), 1);
     }
 
-    TeamUse use() {
+    TeamUsage use() {
         long now = now();
-        return new TeamUse(ran.windowed(now), planned.windowed(now), asked.sum(now), pressed.sum(now));
+        return new TeamUsage(ran.windowed(now), planned.windowed(now), asked.sum(now), pressed.sum(now));
     }
 }
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/AllotmentFleet.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/AllotmentFleet.java
@@ -20,7 +20,7 @@
  */
 final class AllotmentFleet {
     static final Duration WINDOW = Duration.ofSeconds(5);
-    static final AllotmentRule RULE = new AllotmentRule(WINDOW, 20);
+    static final QuotaPolicy RULE = new QuotaPolicy(WINDOW, 20);
     private static final long MILLI = 1_000_000;
     /** Use at other nodes is this old at most: a hub's period, another hub's, and the way. */
     private static final int TELL_EVERY_MILLIS = 160;
@@ -52,11 +52,11 @@
 
     private record Ask(long atMillis, int step, int returns) {}
 
-    private record Told(long heardMillis, int from, UseReport report) {}
+    private record Told(long heardMillis, int from, UsageReport report) {}
 
     /** One node; its peers' reports are in by name. */
     private final class Node {
-        private Allotments allotments;
+        private QuotaTracker allotments;
         private long upMillis;
         private boolean cut;
         private final Map<Integer, Long> heard = new HashMap<>();
@@ -68,7 +68,7 @@
         private void boot(long at) {
             upMillis = at;
             heard.clear();
-            allotments = new Allotments(() -> nowMillis * MILLI, random, RULE, () -> !cut && !heard.isEmpty());
+            allotments = new QuotaTracker(() -> nowMillis * MILLI, random, RULE, () -> !cut && !heard.isEmpty());
         }
 
         private boolean up() {
@@ -131,18 +131,18 @@
         }
         Node node = up.get(random.nextInt(up.size()));
         asked++;
-        switch (node.allotments.ask(team, ask.step > 0, true)) {
-            case AllotmentRuling.Allowed ignored -> runs(ask);
-            case AllotmentRuling.Over over -> {
+        switch (node.allotments.acquire(team, ask.step > 0, true)) {
+            case QuotaDecision.Allowed ignored -> runs(ask);
+            case QuotaDecision.Exceeded over -> {
                 refused++;
                 if (belowLimit(ask)) {
                     refusedBelow++;
                     account += " " + nowMillis + ":" + ask.step + " ran " + ran.size() + " begun " + begun.size() + " "
                             + node.allotments.report().teams();
                 }
-                comeBack(ask, (int) (over.comeBack().toMillis() * (1 + random.nextDouble() / 2)));
+                comeBack(ask, (int) (over.retryAfter().toMillis() * (1 + random.nextDouble() / 2)));
             }
-            case AllotmentRuling.Unsure ignored -> comeBack(ask, 300 + random.nextInt(150));
+            case QuotaDecision.Undetermined ignored -> comeBack(ask, 300 + random.nextInt(150));
         }
     }
 
@@ -190,7 +190,7 @@
     }
 
     private void hear() {
-        Map<Integer, UseReport> news = new HashMap<>();
+        Map<Integer, UsageReport> news = new HashMap<>();
         while (!told.isEmpty() && told.getFirst().heardMillis <= nowMillis) {
             Told each = told.removeFirst();
             news.put(each.from, each.report);
@@ -204,9 +204,9 @@
                 .forEach(each -> take(each, news));
     }
 
-    private void take(int self, Map<Integer, UseReport> news) {
+    private void take(int self, Map<Integer, UsageReport> news) {
         Node node = nodes[self];
-        Map<String, UseReport> reports = new HashMap<>();
+        Map<String, UsageReport> reports = new HashMap<>();
         news.forEach((from, report) -> {
             if (from != self) {
                 node.heard.put(from, nowMillis);
@@ -216,10 +216,10 @@
         node.heard.entrySet().removeIf(each -> {
             boolean silent = nowMillis - each.getValue() > SILENT_MILLIS;
             if (silent) {
-                reports.put("n" + each.getKey(), UseReport.NONE);
+                reports.put("n" + each.getKey(), UsageReport.NONE);
             }
             return silent;
         });
-        node.allotments.peers(reports);
+        node.allotments.updatePeers(reports);
     }
 }
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/AllotmentsTest.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/AllotmentsTest.java
@@ -109,49 +109,49 @@
     @Test
     public void onlyWhatMayHaveRunCounts() {
         AtomicLong now = new AtomicLong(Duration.ofSeconds(60).toNanos());
-        Allotments allotments = aged(now);
+        QuotaTracker allotments = aged(now);
         Team team = new Team("t", OptionalInt.empty(), new Quota(10, 10));
-        AllottedPlace first = place(allotments, team);
-        AllottedPlace second = place(allotments, team);
+        QuotaCharge first = place(allotments, team);
+        QuotaCharge second = place(allotments, team);
         assertEquals(ran(allotments), 2);
-        first.giveBack();
-        first.giveBack();
+        first.refund();
+        first.refund();
         assertEquals(ran(allotments), 1);
-        second.again();
+        second.chargeAgain();
         assertEquals(ran(allotments), 2);
         now.addAndGet(Duration.ofSeconds(6).toNanos());
         assertEquals(allotments.report().teams(), Map.of());
     }
 
-    private static int ran(Allotments allotments) {
-        return allotments.report().teams().get("t").ran().whole();
+    private static int ran(QuotaTracker allotments) {
+        return allotments.report().teams().get("t").sent().total();
     }
 
     /** A limit that was lowered far below what a team sends holds as soon as the window has passed. */
     @Test
     public void aLoweredLimitHoldsAtOnce() {
         AtomicLong now = new AtomicLong(Duration.ofSeconds(60).toNanos());
-        Allotments allotments = aged(now);
+        QuotaTracker allotments = aged(now);
         Team before = new Team("t", OptionalInt.empty(), new Quota(100, 0));
         IntStream.range(0, 40).forEach(each -> place(allotments, before));
         Team lowered = new Team("t", OptionalInt.empty(), new Quota(5, 0));
-        assertTrue(allotments.ask(lowered, true, true) instanceof AllotmentRuling.Over);
+        assertTrue(allotments.acquire(lowered, true, true) instanceof QuotaDecision.Exceeded);
         now.addAndGet(Duration.ofSeconds(6).toNanos());
-        assertTrue(allotments.ask(lowered, true, true) instanceof AllotmentRuling.Allowed);
+        assertTrue(allotments.acquire(lowered, true, true) instanceof QuotaDecision.Allowed);
     }
 
-    private static Allotments aged(AtomicLong now) {
-        Allotments allotments =
-                new Allotments(now::get, new Random(1), new AllotmentRule(AllotmentFleet.WINDOW, 0), () -> true);
+    private static QuotaTracker aged(AtomicLong now) {
+        QuotaTracker allotments =
+                new QuotaTracker(now::get, new Random(1), new QuotaPolicy(AllotmentFleet.WINDOW, 0), () -> true);
         now.addAndGet(Duration.ofSeconds(10).toNanos());
         return allotments;
     }
 
-    private static AllottedPlace place(Allotments allotments, Team team) {
-        return switch (allotments.ask(team, true, true)) {
-            case AllotmentRuling.Allowed allowed -> allowed.place().orElseThrow();
-            case AllotmentRuling.Over over -> throw new AssertionError(over);
-            case AllotmentRuling.Unsure unsure -> throw new AssertionError(unsure);
+    private static QuotaCharge place(QuotaTracker allotments, Team team) {
+        return switch (allotments.acquire(team, true, true)) {
+            case QuotaDecision.Allowed allowed -> allowed.charge().orElseThrow();
+            case QuotaDecision.Exceeded over -> throw new AssertionError(over);
+            case QuotaDecision.Undetermined unsure -> throw new AssertionError(unsure);
         };
     }
 }
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/RetryBudgetTest.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/RetryBudgetTest.java
@@ -11,9 +11,9 @@
     private static int granted(int requests, int failsOneIn) {
         RetryBudget budget = new RetryBudget();
         return (int) IntStream.range(0, requests)
-                .peek(any -> budget.firstTry())
+                .peek(any -> budget.recordFirstAttempt())
                 .filter(each -> each % failsOneIn == 0)
-                .filter(any -> budget.take())
+                .filter(any -> budget.tryAcquire())
                 .count();
     }
 
--- a/parsleydrift-placement/src/test/java/org/parsleydrift/placement/RunnerChoiceTest.java
+++ b/parsleydrift-placement/src/test/java/org/parsleydrift/placement/RunnerChoiceTest.java
@@ -108,12 +108,12 @@
     @Test
     public void aRunnerThatCannotBeReachedRestsLongerEachTime() {
         RunnerHealth health = new RunnerHealth();
-        health.unreachable(0);
-        assertTrue(health.suspended(100_000_000L));
-        assertTrue(!health.suspended(300_000_000L));
-        health.unreachable(300_000_000L);
-        assertTrue(health.suspended(600_000_000L));
-        health.answered();
-        assertTrue(!health.suspended(600_000_000L));
+        health.recordConnectFailure(0);
+        assertTrue(health.isSuspended(100_000_000L));
+        assertTrue(!health.isSuspended(300_000_000L));
+        health.recordConnectFailure(300_000_000L);
+        assertTrue(health.isSuspended(600_000_000L));
+        health.recordSuccess();
+        assertTrue(!health.isSuspended(600_000_000L));
     }
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerServer.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerServer.java
@@ -71,7 +71,7 @@
     }
 
     /** Takes no new connections and closes those between requests. */
-    public void closeIdle() {
+    public void closeIdleConnections() {
         listener.close();
         List.copyOf(connections).forEach(CallerConnection::closeIfIdle);
     }
@@ -81,7 +81,7 @@
      *
      * @return their number
      */
-    public int connections() {
+    public int openConnections() {
         return connections.size();
     }
 
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Dispatcher.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Dispatcher.java
@@ -11,7 +11,7 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
 import org.parsleydrift.placement.Candidate;
-import org.parsleydrift.placement.PromptMemory;
+import org.parsleydrift.placement.PromptCacheIndex;
 import org.parsleydrift.placement.RetryBudget;
 import org.parsleydrift.placement.RunnerChoice;
 import org.parsleydrift.placement.RunnerHealth;
@@ -47,7 +47,7 @@
     private final Map<String, RunnerHealth> health = new HashMap<>();
     private final Map<String, RetryBudget> retries = new HashMap<>();
     private final Map<String, Double> usualMissing = new HashMap<>();
-    private final PromptMemory prompts = new PromptMemory();
+    private final PromptCacheIndex prompts = new PromptCacheIndex();
     private long arrivals;
 
     /**
@@ -79,7 +79,7 @@
      *
      * @return their number
      */
-    public int fleetLoad() {
+    public int totalLoad() {
         return Stream.concat(ownLoad.values().stream(), peerTotal.values().stream())
                 .mapToInt(Integer::intValue)
                 .sum();
@@ -90,7 +90,7 @@
      *
      * @param loads by node or zone: numbers by the {@link RunnerKey} of the runner's life; empty for one that is gone
      */
-    public void peerLoads(Map<String, Map<Long, Integer>> loads) {
+    public void updatePeerLoads(Map<String, Map<Long, Integer>> loads) {
         loads.forEach((node, load) -> {
             Map<Long, Integer> former = peerLoad.put(node, Map.copyOf(load));
             if (former != null) {
@@ -106,14 +106,14 @@
      *
      * @return their number
      */
-    public int waiting() {
+    public int queueLength() {
         return waiting.size();
     }
 
     /** Forgets what is believed of runners that are gone, and places what can be placed at those that came. */
     void runnersChanged() {
         Set<String> lives = registry.incarnations();
-        prompts.keepOnly(lives);
+        prompts.retainRunners(lives);
         health.keySet().retainAll(lives);
         keys.keySet().retainAll(lives);
         dispatch();
@@ -187,8 +187,8 @@
         String life = chosen.runner().incarnation();
         ownLoad.merge(life, 1, Integer::sum);
         if (!waiter.prompt().isEmpty()) {
-            prompts.sent(life, waiter.prompt(), now);
-            double learned = usual + USUAL_WEIGHT * (chosen.missingTokens() - usual);
+            prompts.recordSent(life, waiter.prompt(), now);
+            double learned = usual + USUAL_WEIGHT * (chosen.uncachedTokens() - usual);
             usualMissing.put(waiter.service(), Math.max(1, learned));
         }
         waiter.offered(chosen);
@@ -203,9 +203,9 @@
         return new Candidate(
                 runner,
                 ownLoad.getOrDefault(runner.incarnation(), 0) + peerTotal.getOrDefault(key(runner.incarnation()), 0),
-                known != null && known.suspended(now),
+                known != null && known.isSuspended(now),
                 runner.zone().equals(zone),
-                prompts.missing(runner.incarnation(), waiter.prompt(), waiter.heard(), now));
+                prompts.uncachedTokens(runner.incarnation(), waiter.prompt(), waiter.heard(), now));
     }
 
     private record Entry(Waiter waiter, long arrival) {}
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/ForwardedHeaders.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/ForwardedHeaders.java
@@ -30,8 +30,8 @@
     private ForwardedHeaders() {}
 
     /** What goes on to a runner; headers that only the system may set are taken off. */
-    static HttpHeaders toRunner(HttpHeaders headers, RelayDialect dialect) {
-        return copy(headers, dialect.systemOnly());
+    static HttpHeaders toRunner(HttpHeaders headers, HeaderNames dialect) {
+        return copy(headers, dialect.reserved());
     }
 
     /** What goes back to a caller. */
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayDialect.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/HeaderNames.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 
 /**
- * Names of the headers that the relay reads and sets. The product's own names are {@link #own}; an adapter gives those
+ * Names of the headers that the relay reads and sets. The product's own names are {@link #defaults}; an adapter gives those
  * of another interface.
  *
  * @param requestId id of one try of a caller
@@ -20,9 +20,9 @@
  * @param promptParts parts of the prompt in order, each "ID:TOKENS", separated by commas
  * @param key the caller's key
  * @param team the name of the team that holds the key; for runners
- * @param systemOnly headers in lower case that don't go on to runners as callers send them
+ * @param reserved headers in lower case that don't go on to runners as callers send them
  */
-public record RelayDialect(
+public record HeaderNames(
         String requestId,
         String deadlineMillis,
         String expectInstance,
@@ -37,10 +37,10 @@
         String promptParts,
         String key,
         String team,
-        Set<String> systemOnly) {
+        Set<String> reserved) {
     /** Copies the set. */
-    public RelayDialect {
-        systemOnly = Set.copyOf(systemOnly);
+    public HeaderNames {
+        reserved = Set.copyOf(reserved);
     }
 
     /**
@@ -48,8 +48,8 @@
      *
      * @return the names
      */
-    public static RelayDialect own() {
-        return new RelayDialect(
+    public static HeaderNames defaults() {
+        return new HeaderNames(
                 "Parsleydrift-Request",
                 "Parsleydrift-Deadline-Ms",
                 "Parsleydrift-Expect-Runner",
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Relay.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Relay.java
@@ -7,7 +7,7 @@
 import java.util.random.RandomGenerator;
 import org.parsleydrift.conversation.Conversations;
 import org.parsleydrift.kernel.EventLoop;
-import org.parsleydrift.placement.Allotments;
+import org.parsleydrift.placement.QuotaTracker;
 import org.parsleydrift.registry.Registry;
 import org.parsleydrift.wire.NetworkThreads;
 
@@ -17,9 +17,9 @@
     private final Registry registry;
     private final Dispatcher dispatcher;
     private final Conversations conversations;
-    private final Allotments allotments;
+    private final QuotaTracker allotments;
     private final RunnerConnections connections;
-    private final RelayDialect dialect;
+    private final HeaderNames dialect;
     private final RandomGenerator random;
     private final RelayMeters meters;
     private final List<RelayedRequest> awaitingManifest = new ArrayList<>();
@@ -44,8 +44,8 @@
             Registry registry,
             Dispatcher dispatcher,
             Conversations conversations,
-            Allotments allotments,
-            RelayDialect dialect,
+            QuotaTracker allotments,
+            HeaderNames dialect,
             RandomGenerator random,
             MeterRegistry meters) {
         this.loop = loop;
@@ -74,7 +74,7 @@
      *
      * @return their number
      */
-    public int open() {
+    public int openRequests() {
         return open;
     }
 
@@ -112,7 +112,7 @@
         return conversations;
     }
 
-    Allotments allotments() {
+    QuotaTracker allotments() {
         return allotments;
     }
 
@@ -120,7 +120,7 @@
         return connections;
     }
 
-    RelayDialect dialect() {
+    HeaderNames dialect() {
         return dialect;
     }
 
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RelayedRequest.java
@@ -11,10 +11,10 @@
 import org.parsleydrift.conversation.BeginResult;
 import org.parsleydrift.kernel.LogLine;
 import org.parsleydrift.kernel.LoopTimer;
-import org.parsleydrift.placement.AllotmentRuling;
+import org.parsleydrift.placement.CachedPart;
 import org.parsleydrift.placement.Candidate;
-import org.parsleydrift.placement.HeldPart;
 import org.parsleydrift.placement.PromptPart;
+import org.parsleydrift.placement.QuotaDecision;
 import org.parsleydrift.registry.Route;
 import org.parsleydrift.registry.RoutingManifest;
 import org.parsleydrift.registry.Runner;
@@ -47,7 +47,7 @@
     private LoopTimer startTimer = () -> {};
     private LoopTimer silenceTimer = () -> {};
     private Optional<TurnRecord> turn = Optional.empty();
-    private List<HeldPart> heard = List.of();
+    private List<CachedPart> heard = List.of();
     private boolean chained;
     private byte[] body;
     private RunnerExchange exchange;
@@ -100,9 +100,9 @@
 
     private void admit() {
         switch (claim.ask(underWay(), !facts.program().isEmpty())) {
-            case AllotmentRuling.Allowed ignored -> queue();
-            case AllotmentRuling.Over over -> refuse(429, OVER_ALLOTMENT, over.comeBack());
-            case AllotmentRuling.Unsure ignored ->
+            case QuotaDecision.Allowed ignored -> queue();
+            case QuotaDecision.Exceeded over -> refuse(429, OVER_ALLOTMENT, over.retryAfter());
+            case QuotaDecision.Undetermined ignored ->
                 refuse("no peer tells what the team has used", RelayLimits.COME_BACK_ALONE);
         }
     }
@@ -173,7 +173,7 @@
     }
 
     @Override
-    public List<HeldPart> heard() {
+    public List<CachedPart> heard() {
         return heard;
     }
 
@@ -212,13 +212,13 @@
                         .with("load", chosen.load())
                         .with("slots", runner.slots())
                         .with("prompt", facts.promptTokens())
-                        .with("missing", chosen.missingTokens())
+                        .with("missing", chosen.uncachedTokens())
                         .with("offer", tries.offers())
                         .with("manifest", manifestVersion)
                         .toString());
         relay.meters().phase("wait", elapsed());
         if (tries.offers() == 1) {
-            relay.dispatcher().retries(service).firstTry();
+            relay.dispatcher().retries(service).recordFirstAttempt();
         }
         exchange = new RunnerExchange(this, relay, runner, route.isStreaming(), route.stateful());
         limitSilence(runner, exchange);
@@ -274,18 +274,18 @@
     private void silent(Runner runner, RunnerExchange offered) {
         if (stage == RequestStage.OFFERED
                 && exchange == offered
-                && relay.dispatcher().retries(service).take()) {
+                && relay.dispatcher().retries(service).tryAcquire()) {
             offered.cancel();
             relay.dispatcher()
                     .health(runner.incarnation())
-                    .broken(relay.loop().clock().nanos());
+                    .recordBrokenResponse(relay.loop().clock().nanos());
             sendAgain(runner, "silent for longer than the route's target");
         }
     }
 
     /** No whole answer came, and the runner may have begun the request. Nothing has gone to the caller yet. */
     void unknown(Runner runner, String reason) {
-        if (mayRunAgain() && relay.dispatcher().retries(service).take()) {
+        if (mayRunAgain() && relay.dispatcher().retries(service).tryAcquire()) {
             sendAgain(runner, reason);
         } else {
             tries.mayHaveRunAt(runner.incarnation());
@@ -374,7 +374,7 @@
         switch (result) {
             case BeginResult.Granted grantedTurn -> {
                 heard = grantedTurn.settled().stream()
-                        .map(each -> new HeldPart(each.runner(), each.promptPart(), each.cachedTokens()))
+                        .map(each -> new CachedPart(each.runner(), each.promptPart(), each.cachedTokens()))
                         .toList();
                 chained = !grantedTurn.chain().isEmpty();
                 body = ChainText.assemble(grantedTurn.chain(), request.body());
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestFacts.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestFacts.java
@@ -51,7 +51,7 @@
      *
      * @return the facts; empty if one of them makes no sense
      */
-    static Optional<RequestFacts> read(HttpHeaders headers, RelayDialect dialect) {
+    static Optional<RequestFacts> read(HttpHeaders headers, HeaderNames dialect) {
         String id = headers.get(dialect.requestId());
         if (id == null || id.isBlank()) {
             return Optional.empty();
@@ -76,7 +76,7 @@
      * Without parts the whole prompt is one, shared by the turns of its program. Parts only help to choose a runner, so a
      * header that can't be read counts as none: a refusal would cost the caller an answer that any runner can give.
      */
-    private static List<PromptPart> prompt(HttpHeaders headers, RelayDialect dialect) {
+    private static List<PromptPart> prompt(HttpHeaders headers, HeaderNames dialect) {
         String[] parts = COMMA.split(headers.get(dialect.promptParts(), ""), -1);
         if (Arrays.stream(parts).allMatch(PART.asMatchPredicate())) {
             return Arrays.stream(parts).map(RequestFacts::part).toList();
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestMatch.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RequestMatch.java
@@ -45,7 +45,7 @@
      * @return what holds
      */
     static RequestMatch of(
-            RoutingManifest manifest, boolean current, CallerRequest request, boolean readable, RelayDialect dialect) {
+            RoutingManifest manifest, boolean current, CallerRequest request, boolean readable, HeaderNames dialect) {
         Optional<Route> route = manifest.match(request.host(), request.target());
         if (route.isEmpty()) {
             return current ? new Denied(404, "no_route") : new Unsure("no route in a manifest that may be old");
@@ -75,7 +75,7 @@
      * @param dialect header names
      * @return the team, if any holds the key
      */
-    static Optional<Team> holder(RoutingManifest manifest, CallerRequest request, RelayDialect dialect) {
+    static Optional<Team> holder(RoutingManifest manifest, CallerRequest request, HeaderNames dialect) {
         return manifest.teams().flatMap(teams -> holder(teams, request.headers().getAll(dialect.key())));
     }
 
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnection.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnection.java
@@ -31,7 +31,7 @@
 final class RunnerConnection extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = System.getLogger(RunnerConnection.class.getName());
 
-    private final RelayDialect dialect;
+    private final HeaderNames dialect;
     private final RuntimeClock clock;
     private final IdleConnections pool;
     private final String runnerLife;
@@ -48,7 +48,7 @@
     private long idleSinceNanos;
     private Optional<Duration> idleLimit = Optional.empty();
 
-    RunnerConnection(IdleConnections pool, String runnerLife, RelayDialect dialect, RuntimeClock clock) {
+    RunnerConnection(IdleConnections pool, String runnerLife, HeaderNames dialect, RuntimeClock clock) {
         this.pool = pool;
         this.runnerLife = runnerLife;
         this.dialect = dialect;
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnections.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnections.java
@@ -34,12 +34,12 @@
     private static final Duration SWEEP = Duration.ofMillis(250);
 
     private final Bootstrap bootstrap;
-    private final RelayDialect dialect;
+    private final HeaderNames dialect;
     private final EventLoop loop;
     private final Map<String, Deque<RunnerConnection>> idle = new HashMap<>();
     private boolean sweeping;
 
-    RunnerConnections(NetworkThreads threads, EventLoop loop, RelayDialect dialect) {
+    RunnerConnections(NetworkThreads threads, EventLoop loop, HeaderNames dialect) {
         this.loop = loop;
         this.dialect = dialect;
         this.bootstrap = threads.connector(CONNECT_TIMEOUT);
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerExchange.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerExchange.java
@@ -63,7 +63,7 @@
             return;
         }
         if (failure != null) {
-            relay.dispatcher().health(runner.incarnation()).unreachable(now());
+            relay.dispatcher().health(runner.incarnation()).recordConnectFailure(now());
             release();
             request.notRun(runner, "no connection");
             return;
@@ -126,7 +126,7 @@
             return;
         }
         over = true;
-        relay.dispatcher().health(runner.incarnation()).broken(now());
+        relay.dispatcher().health(runner.incarnation()).recordBrokenResponse(now());
         if (streamBegun) {
             request.streamBroken(reason);
         } else if (mayHaveRun) {
@@ -150,7 +150,7 @@
             request.notRun(runner, "runner says not executed, status " + status);
             return;
         }
-        relay.dispatcher().health(runner.incarnation()).answered();
+        relay.dispatcher().health(runner.incarnation()).recordSuccess();
         if (streamBegun) {
             if (events.sound()) {
                 request.streamEnded(runner, events);
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerRequest.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerRequest.java
@@ -21,7 +21,7 @@
             CallerRequest request,
             RequestFacts facts,
             Optional<Team> team,
-            RelayDialect dialect,
+            HeaderNames dialect,
             Runner runner,
             long leftMillis,
             byte[] body,
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TeamClaim.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/TeamClaim.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 import java.util.Optional;
 import java.util.OptionalInt;
-import org.parsleydrift.placement.AllotmentRuling;
-import org.parsleydrift.placement.Allotments;
-import org.parsleydrift.placement.AllottedPlace;
+import org.parsleydrift.placement.QuotaCharge;
+import org.parsleydrift.placement.QuotaDecision;
+import org.parsleydrift.placement.QuotaTracker;
 import org.parsleydrift.registry.Registry;
 import org.parsleydrift.registry.Route;
 import org.parsleydrift.registry.Team;
@@ -13,12 +13,12 @@
 /** The team that a request came from, and its place in that team's allotment. A request of no team has all it needs. */
 final class TeamClaim {
     private final Registry registry;
-    private final Allotments allotments;
+    private final QuotaTracker allotments;
     private final CallerRequest request;
-    private final RelayDialect dialect;
+    private final HeaderNames dialect;
     private final Optional<Team> team;
     private final String owner;
-    private Optional<AllottedPlace> place = Optional.empty();
+    private Optional<QuotaCharge> place = Optional.empty();
 
     TeamClaim(Relay relay, CallerRequest request, Optional<Team> team, String owner) {
         this.registry = relay.registry();
@@ -54,7 +54,7 @@
 
     /** When to come back if nothing of the team may run now; known before the store VMs are asked for a turn. */
     Optional<Duration> full() {
-        return team.filter(allotments::full).map(allotments::comeBack);
+        return team.filter(allotments::isExhausted).map(allotments::retryAfter);
     }
 
     /**
@@ -63,24 +63,24 @@
      * @param underWay whether its program has already used runner time
      * @param ofProgram whether it belongs to a program, which will need more places
      */
-    AllotmentRuling ask(boolean underWay, boolean ofProgram) {
+    QuotaDecision ask(boolean underWay, boolean ofProgram) {
         if (team.isEmpty()) {
-            return AllotmentRuling.UNLIMITED;
+            return QuotaDecision.UNLIMITED;
         }
-        AllotmentRuling ruling = allotments.ask(team.get(), underWay, ofProgram);
-        if (ruling instanceof AllotmentRuling.Allowed allowed) {
-            place = allowed.place();
+        QuotaDecision ruling = allotments.acquire(team.get(), underWay, ofProgram);
+        if (ruling instanceof QuotaDecision.Allowed allowed) {
+            place = allowed.charge();
         }
         return ruling;
     }
 
     /** It goes to another runner though the one before may have run it: that counts once more. */
     void again() {
-        place.ifPresent(AllottedPlace::again);
+        place.ifPresent(QuotaCharge::chargeAgain);
     }
 
     /** No runner has begun it or will. */
     void giveBack() {
-        place.ifPresent(AllottedPlace::giveBack);
+        place.ifPresent(QuotaCharge::refund);
     }
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Waiter.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/Waiter.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.Set;
+import org.parsleydrift.placement.CachedPart;
 import org.parsleydrift.placement.Candidate;
-import org.parsleydrift.placement.HeldPart;
 import org.parsleydrift.placement.PromptPart;
 
 /** A request that waits for a runner. */
@@ -15,7 +15,7 @@
     List<PromptPart> prompt();
 
     /** Parts that runners hold by the word of the store VMs. */
-    List<HeldPart> heard();
+    List<CachedPart> heard();
 
     /** Runners it must not go to again. */
     Set<String> avoided();
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/BrokenTurnTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/BrokenTurnTest.java
@@ -30,8 +30,8 @@
 import org.parsleydrift.conversation.StoreMember;
 import org.parsleydrift.conversation.StoreSet;
 import org.parsleydrift.kernel.SystemClock;
-import org.parsleydrift.placement.AllotmentRule;
-import org.parsleydrift.placement.Allotments;
+import org.parsleydrift.placement.QuotaPolicy;
+import org.parsleydrift.placement.QuotaTracker;
 import org.parsleydrift.registry.CallKind;
 import org.parsleydrift.registry.CallerLimits;
 import org.parsleydrift.registry.Destination;
@@ -92,9 +92,9 @@
                 registry,
                 new Dispatcher(registry, new Random(1), "z", loop.clock()::nanos),
                 new Conversations(client),
-                new Allotments(
-                        loop.clock()::nanos, new Random(3), new AllotmentRule(Duration.ofSeconds(5), 20), () -> true),
-                RelayDialect.own(),
+                new QuotaTracker(
+                        loop.clock()::nanos, new Random(3), new QuotaPolicy(Duration.ofSeconds(5), 20), () -> true),
+                HeaderNames.defaults(),
                 new Random(2),
                 new SimpleMeterRegistry());
         server = new CallerServer(
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/DispatcherTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/DispatcherTest.java
@@ -11,8 +11,8 @@
 import java.util.Random;
 import java.util.Set;
 import org.parsleydrift.kernel.ManualScheduler;
+import org.parsleydrift.placement.CachedPart;
 import org.parsleydrift.placement.Candidate;
-import org.parsleydrift.placement.HeldPart;
 import org.parsleydrift.placement.PromptPart;
 import org.parsleydrift.registry.ObjectDecoder;
 import org.parsleydrift.registry.Registry;
@@ -59,7 +59,7 @@
         }
 
         @Override
-        public List<HeldPart> heard() {
+        public List<CachedPart> heard() {
             return List.of();
         }
 
@@ -134,7 +134,7 @@
     public void whatPeersHaveAtARunnerCounts() {
         runner("r1", false);
         runner("r2", false);
-        dispatcher.peerLoads(Map.of("peer", loadAt("r1", SLOTS)));
+        dispatcher.updatePeerLoads(Map.of("peer", loadAt("r1", SLOTS)));
         Request request = new Request("a", 0, false);
         dispatcher.submit(request);
         assertEquals(request.runner.id(), "r2");
@@ -158,7 +158,7 @@
     public void runnersWhoseNamesShareAHashAreToldApart() {
         assertEquals("Aa".hashCode(), "BB".hashCode());
         List.of("Aa", "BB").forEach(id -> runner(id, false));
-        dispatcher.peerLoads(Map.of("peer", loadAt("Aa", SLOTS + 1)));
+        dispatcher.updatePeerLoads(Map.of("peer", loadAt("Aa", SLOTS + 1)));
         dispatcher.submit(new Request("one", 1, false));
         assertEquals(placed.size(), 1);
     }
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RelayTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RelayTest.java
@@ -26,8 +26,8 @@
 import org.parsleydrift.conversation.FrameSender;
 import org.parsleydrift.conversation.ReplicaCalls;
 import org.parsleydrift.kernel.SystemClock;
-import org.parsleydrift.placement.AllotmentRule;
-import org.parsleydrift.placement.Allotments;
+import org.parsleydrift.placement.QuotaPolicy;
+import org.parsleydrift.placement.QuotaTracker;
 import org.parsleydrift.registry.CallKind;
 import org.parsleydrift.registry.CallerLimits;
 import org.parsleydrift.registry.Destination;
@@ -78,9 +78,9 @@
                 registry,
                 dispatcher,
                 new Conversations(new ConversationClient(loop, calls)),
-                new Allotments(
-                        loop.clock()::nanos, new Random(3), new AllotmentRule(Duration.ofSeconds(5), 20), () -> true),
-                RelayDialect.own(),
+                new QuotaTracker(
+                        loop.clock()::nanos, new Random(3), new QuotaPolicy(Duration.ofSeconds(5), 20), () -> true),
+                HeaderNames.defaults(),
                 new Random(2),
                 new SimpleMeterRegistry());
         server = new CallerServer(
@@ -225,7 +225,7 @@
 
     private int openRequests() {
         CompletableFuture<Integer> open = new CompletableFuture<>();
-        loop.execute(() -> open.complete(server.connections()));
+        loop.execute(() -> open.complete(server.openConnections()));
         return open.join();
     }
 
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestFactsTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestFactsTest.java
@@ -21,7 +21,7 @@
         if (!budget.isEmpty()) {
             headers.set("Parsleydrift-Token-Budget", budget);
         }
-        return RequestFacts.read(headers, RelayDialect.own()).orElseThrow().prompt();
+        return RequestFacts.read(headers, HeaderNames.defaults()).orElseThrow().prompt();
     }
 
     @Test
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestMatchTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RequestMatchTest.java
@@ -20,7 +20,7 @@
 
 /** Whose a request is. */
 public class RequestMatchTest {
-    private static final RelayDialect DIALECT = RelayDialect.own();
+    private static final HeaderNames DIALECT = HeaderNames.defaults();
 
     private static TeamKeys.Holder holder(String name, String key) {
         return new TeamKeys.Holder(new Team(name, OptionalInt.empty(), Quota.UNLIMITED), List.of(key));
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RunnerConnectionTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/RunnerConnectionTest.java
@@ -63,7 +63,7 @@
                 kept.remove(closed);
             }
         };
-        connection = new RunnerConnection(pool, "r1", RelayDialect.own(), new ManualScheduler());
+        connection = new RunnerConnection(pool, "r1", HeaderNames.defaults(), new ManualScheduler());
         channel = new EmbeddedChannel(new HttpResponseDecoder(), connection);
     }
 
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/DeploymentPlugin.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/DeploymentPlugin.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.parsleydrift.registry.ObjectDecoder;
 import org.parsleydrift.registry.SharedObjects;
-import org.parsleydrift.relay.RelayDialect;
+import org.parsleydrift.relay.HeaderNames;
 import org.parsleydrift.wire.HttpClient;
 
 /** How callers, runners and the platform of one deployment speak; found by the service loader. Decides nothing. */
@@ -20,7 +20,7 @@
      *
      * @return the names
      */
-    RelayDialect dialect();
+    HeaderNames dialect();
 
     /**
      * The shared objects.
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
@@ -17,7 +17,7 @@
 import org.parsleydrift.kernel.LogLine;
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
-import org.parsleydrift.placement.Allotments;
+import org.parsleydrift.placement.QuotaTracker;
 import org.parsleydrift.registry.CallerLimits;
 import org.parsleydrift.registry.ObjectKind;
 import org.parsleydrift.registry.ObjectWatcher;
@@ -54,7 +54,7 @@
     private final Registry registry;
     private final ConversationClient stores;
     private final ReplicaCalls calls;
-    private final Allotments allotments;
+    private final QuotaTracker allotments;
     private final Dispatcher dispatcher;
     private final Relay relay;
     private final NodeMesh mesh;
@@ -83,8 +83,8 @@
                 request -> CompletableFuture.failedFuture(
                         new StepException(Step.FORWARD, self.name(), "an entry node keeps no conversations")));
         stores = new ConversationClient(parts.loop, calls);
-        allotments =
-                new Allotments(parts.loop.clock()::nanos, parts.random, settings.allotmentRule(), this::knowsFleetsUse);
+        allotments = new QuotaTracker(
+                parts.loop.clock()::nanos, parts.random, settings.allotmentRule(), this::knowsFleetsUse);
         dispatcher = new Dispatcher(registry, parts.random, settings.zone(), parts.loop.clock()::nanos);
         relay = new Relay(
                 parts.threads,
@@ -123,8 +123,8 @@
                 () -> registry.manifest().map(RoutingManifest::limits).orElseGet(CallerLimits::defaults));
         parts.serve(settings.readiness().orElseThrow(), SMALL_SERVER_CONNECTIONS, this::readiness);
         parts.serve(settings.directory().orElseThrow(), SMALL_SERVER_CONNECTIONS, this::directory);
-        parts.meters.gauge("parsleydrift.requests.open", relay, Relay::open);
-        parts.meters.gauge("parsleydrift.requests.waiting", dispatcher, Dispatcher::waiting);
+        parts.meters.gauge("parsleydrift.requests.open", relay, Relay::openRequests);
+        parts.meters.gauge("parsleydrift.requests.waiting", dispatcher, Dispatcher::queueLength);
     }
 
     @Override
@@ -172,8 +172,8 @@
     private void drainStep(long begunNanos, CountDownLatch ended) {
         long sinceMillis = (parts.loop.clock().nanos() - begunNanos) / 1_000_000;
         if (sinceMillis > parts.settings.grace().toMillis() * OPEN_SHARE) {
-            callers.closeIdle();
-            if (relay.open() == 0 && callers.connections() == 0) {
+            callers.closeIdleConnections();
+            if (relay.openRequests() == 0 && callers.openConnections() == 0) {
                 ended.countDown();
             }
         }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeUse.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeUse.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
-import org.parsleydrift.placement.TeamUse;
-import org.parsleydrift.placement.UseReport;
-import org.parsleydrift.placement.Windowed;
+import org.parsleydrift.placement.TeamUsage;
+import org.parsleydrift.placement.UsageReport;
+import org.parsleydrift.placement.WindowCounts;
 
 /**
  * What an entry node, or several together, have in use.
@@ -15,8 +15,8 @@
  * @param load requests at each runner, by the {@link org.parsleydrift.registry.RunnerKey} of the runner's life
  * @param teams use of the teams' allotments
  */
-record NodeUse(Map<Long, Integer> load, UseReport teams) {
-    static final NodeUse NONE = new NodeUse(Map.of(), UseReport.NONE);
+record NodeUse(Map<Long, Integer> load, UsageReport teams) {
+    static final NodeUse NONE = new NodeUse(Map.of(), UsageReport.NONE);
 
     /** Copies the map. */
     NodeUse {
@@ -42,14 +42,14 @@
         for (Map.Entry<Long, Integer> each : load.entrySet()) {
             out.packLong(each.getKey()).packInt(each.getValue());
         }
-        out.packInt(teams.nodes()).packInt(teams.unseenMillis());
+        out.packInt(teams.nodes()).packInt(teams.unobservedMillis());
         out.packMapHeader(teams.teams().size());
-        for (Map.Entry<String, TeamUse> each : teams.teams().entrySet()) {
-            TeamUse use = each.getValue();
+        for (Map.Entry<String, TeamUsage> each : teams.teams().entrySet()) {
+            TeamUsage use = each.getValue();
             out.packString(each.getKey());
-            writeCount(out, use.ran());
+            writeCount(out, use.sent());
             writeCount(out, use.planned());
-            out.packInt(use.asked()).packInt(use.pressed());
+            out.packInt(use.newDemand()).packInt(use.inProgressDemand());
         }
     }
 
@@ -61,20 +61,20 @@
         }
         int nodes = in.unpackInt();
         int unseenMillis = in.unpackInt();
-        Map<String, TeamUse> teams = new HashMap<>();
+        Map<String, TeamUsage> teams = new HashMap<>();
         int named = in.unpackMapHeader();
         for (int i = 0; i < named; i++) {
             String team = in.unpackString();
-            teams.put(team, new TeamUse(readCount(in), readCount(in), in.unpackInt(), in.unpackInt()));
+            teams.put(team, new TeamUsage(readCount(in), readCount(in), in.unpackInt(), in.unpackInt()));
         }
-        return new NodeUse(load, new UseReport(nodes, unseenMillis, teams));
+        return new NodeUse(load, new UsageReport(nodes, unseenMillis, teams));
     }
 
-    private static void writeCount(MessagePacker out, Windowed count) throws IOException {
-        out.packInt(count.whole()).packInt(count.late()).packInt(count.leaving());
+    private static void writeCount(MessagePacker out, WindowCounts count) throws IOException {
+        out.packInt(count.total()).packInt(count.recent()).packInt(count.expiring());
     }
 
-    private static Windowed readCount(MessageUnpacker in) throws IOException {
-        return new Windowed(in.unpackInt(), in.unpackInt(), in.unpackInt());
+    private static WindowCounts readCount(MessageUnpacker in) throws IOException {
+        return new WindowCounts(in.unpackInt(), in.unpackInt(), in.unpackInt());
     }
 }
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettings.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettings.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.Optional;
-import org.parsleydrift.placement.AllotmentRule;
+import org.parsleydrift.placement.QuotaPolicy;
 
 /**
  * Settings of a process of the caller-driven deployment (docs/OPERATIONS.md).
@@ -40,5 +40,5 @@
         boolean firstStart,
         int toleratedLosses,
         int storeMembers,
-        AllotmentRule allotmentRule,
+        QuotaPolicy allotmentRule,
         Duration grace) {}
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettingsReader.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/RoleSettingsReader.java
@@ -15,7 +15,7 @@
 import java.util.function.Function;
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
-import org.parsleydrift.placement.AllotmentRule;
+import org.parsleydrift.placement.QuotaPolicy;
 
 /**
  * Reads and checks settings: JSON with comments. All faults are told at once; fields that are not known are passed over.
@@ -103,12 +103,12 @@
                 required("grace_s", text -> Duration.ofMillis((long) (Double.parseDouble(text) * 1000))));
     }
 
-    private AllotmentRule allotmentRule() {
+    private QuotaPolicy allotmentRule() {
         double window = number("allotment_window_s", DEFAULT_ALLOTMENT_WINDOW_SECONDS);
         if (window == 0) {
             faults.add("/allotment_window_s must be above 0");
         }
-        return new AllotmentRule(Duration.ofMillis((long) (window * 1000)), number("allotment_slack", 0));
+        return new QuotaPolicy(Duration.ofMillis((long) (window * 1000)), number("allotment_slack", 0));
     }
 
     private double number(String field, double usual) {
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshMember.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/MeshMember.java
@@ -13,8 +13,8 @@
 import org.parsleydrift.conversation.FrameSender;
 import org.parsleydrift.kernel.ManualEventLoop;
 import org.parsleydrift.kernel.ManualScheduler;
-import org.parsleydrift.placement.AllotmentRule;
-import org.parsleydrift.placement.Allotments;
+import org.parsleydrift.placement.QuotaPolicy;
+import org.parsleydrift.placement.QuotaTracker;
 import org.parsleydrift.registry.ObjectChanges;
 import org.parsleydrift.registry.ObjectDecoder;
 import org.parsleydrift.registry.ObjectKind;
@@ -36,7 +36,7 @@
     int silences;
     final List<SharedObject> learned = new ArrayList<>();
     final NodeMesh mesh;
-    final Allotments allotments;
+    final QuotaTracker allotments;
     boolean ready = true;
     boolean reachesStores = true;
     boolean cut;
@@ -85,7 +85,7 @@
             }
         });
         Dispatcher dispatcher = new Dispatcher(registry, new Random(1), "z", time::nanos);
-        allotments = new Allotments(time::nanos, random, new AllotmentRule(Duration.ofSeconds(5), 20), () -> true);
+        allotments = new QuotaTracker(time::nanos, random, new QuotaPolicy(Duration.ofSeconds(5), 20), () -> true);
         mesh = new NodeMesh(
                 loop,
                 sender(),
--- a/parsleydrift-roles/src/test/java/org/parsleydrift/roles/ZoneSummariesTest.java
+++ b/parsleydrift-roles/src/test/java/org/parsleydrift/roles/ZoneSummariesTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.parsleydrift.placement.UseReport;
+import org.parsleydrift.placement.UsageReport;
 import org.testng.annotations.Test;
 
 /** What a node makes of the sums that hubs tell. */
@@ -32,7 +32,7 @@
     }
 
     private static NodeUse use(int load) {
-        return new NodeUse(Map.of(RUNNER, load), UseReport.NONE);
+        return new NodeUse(Map.of(RUNNER, load), UsageReport.NONE);
     }
 
     private static Optional<List<String>> names(String... names) {
