--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/Fleet.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/Fleet.java
@@ -111,7 +111,7 @@
         first.run(() -> first.node().submitManifest(text, -1));
         awaitTrue(
                 Duration.ofSeconds(30),
-                () -> live().stream().allMatch(node -> node.node().ready()));
+                () -> live().stream().allMatch(node -> node.node().isReady()));
     }
 
     /**
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetCaller.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetCaller.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.List;
-import org.parsleydrift.node.EntryAdvice;
+import org.parsleydrift.node.EntryAssignment;
 import org.parsleydrift.node.caller.CallerReply;
 import org.parsleydrift.node.caller.CallerRequest;
 import org.parsleydrift.node.caller.RefusalKind;
@@ -153,8 +153,8 @@
             }
             if (id == null) {
                 node.node()
-                        .entry("team")
-                        .map(EntryAdvice::ticket)
+                        .assignEntryNode("team")
+                        .map(EntryAssignment::ticket)
                         .ifPresent(ticket -> id = ProgramId.parse(ticket + "~team~" + key));
             }
             if (id == null) {
--- a/parsleydrift-bench/src/test/java/org/parsleydrift/bench/PromiseTest.java
+++ b/parsleydrift-bench/src/test/java/org/parsleydrift/bench/PromiseTest.java
@@ -253,9 +253,9 @@
         fleet.store().faults(new PlatformFaults(true, 0, 0, false, 0));
         FleetNode late = fleet.addNode();
         late.run(() -> late.node()
-                .seedPeers(List.of(fleet.nodes().getFirst().settings().link())));
+                .setSeedPeers(List.of(fleet.nodes().getFirst().settings().link())));
         fleet.awaitTrue(Duration.ofSeconds(30), () -> late.node().manifest().generation() == 1);
-        assertFalse(late.node().ready(), "it must not own programs before it is registered");
+        assertFalse(late.node().isReady(), "it must not own programs before it is registered");
     }
 
     /**
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/CallerApi.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/CallerApi.java
@@ -57,7 +57,7 @@
         switch (exchange.method() + " " + path) {
             case "GET /health" -> exchange.respond(200, JSON, "{\"alive\":true}\n", Map.of());
             case "GET /ready" ->
-                exchange.respond(node.ready() ? 200 : 503, JSON, "{\"ready\":" + node.ready() + "}\n", Map.of());
+                exchange.respond(node.isReady() ? 200 : 503, JSON, "{\"ready\":" + node.isReady() + "}\n", Map.of());
             case "GET /metrics" -> exchange.respond(200, "text/plain; version=0.0.4", meters.scrape(), Map.of());
             case "GET /v1/status" -> exchange.respond(200, JSON, Answers.json(node.status()), Map.of());
             case "GET /v1/entry" -> entry(exchange);
@@ -128,7 +128,7 @@
     }
 
     private void entry(HttpExchange exchange) {
-        node.entry(exchange.query("team", "any"))
+        node.assignEntryNode(exchange.query("team", "any"))
                 .ifPresentOrElse(
                         advice -> exchange.respond(200, JSON, Answers.json(advice), Map.of()),
                         () -> Answers.refuse(
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/DaemonSettings.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/DaemonSettings.java
@@ -91,19 +91,19 @@
                 http,
                 link,
                 new NodeSettings.Timings(
-                        millis("heartbeat_ms", base.heartbeat()),
-                        millis("suspect_after_ms", base.suspectAfter()),
-                        millis("probe_wait_ms", base.probeWait()),
-                        millis("registry_poll_ms", base.registryPoll()),
+                        millis("heartbeat_ms", base.heartbeatInterval()),
+                        millis("suspect_after_ms", base.suspectTimeout()),
+                        millis("probe_wait_ms", base.probeTimeout()),
+                        millis("registry_poll_ms", base.registryPollInterval()),
                         millis("commit_interval_ms", base.commitInterval()),
                         writesPerSecond(base.platformWritesPerSecond()),
                         millis("platform_timeout_ms", base.platformTimeout()),
-                        base.outageAfter(),
-                        base.stall(),
-                        base.requestLimit(),
+                        base.outageThreshold(),
+                        base.pauseThreshold(),
+                        base.ownerLookupTimeout(),
                         base.answerRetention(),
-                        base.ticketLife(),
-                        millis("drain_limit_ms", base.drainLimit())));
+                        base.ticketLifetime(),
+                        millis("drain_limit_ms", base.drainTimeout())));
     }
 
     private int writesPerSecond(int fallback) {
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/ParsleydriftDaemon.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/ParsleydriftDaemon.java
@@ -66,7 +66,7 @@
         CountDownLatch begun = new CountDownLatch(1);
         loop.execute(() -> {
             Node first = new Node(environment, this.settings);
-            first.seedPeers(settings.peers());
+            first.setSeedPeers(settings.peers());
             made.set(first);
             begun.countDown();
         });
@@ -116,7 +116,7 @@
         CountDownLatch drained = new CountDownLatch(1);
         loop.execute(() -> node.drain().whenComplete((done, failure) -> drained.countDown()));
         try {
-            long limit = settings.timings().drainLimit().toSeconds() * DRAIN_WAIT_FACTOR;
+            long limit = settings.timings().drainTimeout().toSeconds() * DRAIN_WAIT_FACTOR;
             if (!drained.await(limit, TimeUnit.SECONDS)) {
                 LOG.log(Logger.Level.WARNING, LogLine.of("drain_late").toString());
             }
--- a/parsleydrift-daemon/src/test/java/org/parsleydrift/daemon/DaemonSettingsTest.java
+++ b/parsleydrift-daemon/src/test/java/org/parsleydrift/daemon/DaemonSettingsTest.java
@@ -15,7 +15,7 @@
                 {"vm": "vm1", "zone": "a", /* callers */ "http": "10.0.0.1:80", "link": "10.0.0.1:81",
                  "platform": "10.0.0.9:80", "timings": {"heartbeat_ms": 100, "platform_writes_per_second": 50}}
                 """);
-        assertEquals(settings.nodeSettings().timings().heartbeat(), Duration.ofMillis(100));
+        assertEquals(settings.nodeSettings().timings().heartbeatInterval(), Duration.ofMillis(100));
         assertEquals(settings.nodeSettings().timings().platformWritesPerSecond(), 50);
         assertEquals(settings.plugin(), "http");
     }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/EntryAdvice.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/EntryAssignment.java
@@ -11,4 +11,5 @@
  * @param generation the manifest generation in force
  * @param ticket names the journal that new work belongs to
  */
-public record EntryAdvice(String address, List<String> alternates, int ttlSeconds, long generation, String ticket) {}
+public record EntryAssignment(
+        String address, List<String> alternates, int ttlSeconds, long generation, String ticket) {}
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/Incarnation.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/Incarnation.java
@@ -202,7 +202,7 @@
                             host.drain();
                             sealWhenQuiet(
                                     loop.clock().nanos()
-                                            + settings.timings().drainLimit().toNanos(),
+                                            + settings.timings().drainTimeout().toNanos(),
                                     drained);
                         },
                         loop);
@@ -299,7 +299,7 @@
             refresh();
             shareWriteRate();
             takeover.work();
-            loop.schedule(settings.timings().registryPoll(), this::poll);
+            loop.schedule(settings.timings().registryPollInterval(), this::poll);
         }
     }
 
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
@@ -92,7 +92,7 @@
      *
      * @param addresses link addresses
      */
-    public void seedPeers(List<String> addresses) {
+    public void setSeedPeers(List<String> addresses) {
         seedPeers = List.copyOf(addresses);
     }
 
@@ -149,7 +149,7 @@
      *
      * @return true if it is ready
      */
-    public boolean ready() {
+    public boolean isReady() {
         return incarnation.active() && manifest.version() != null && !draining;
     }
 
@@ -159,7 +159,7 @@
      * @param team the caller's team
      * @return the advice, or empty if no node takes new work
      */
-    public Optional<EntryAdvice> entry(String team) {
+    public Optional<EntryAssignment> assignEntryNode(String team) {
         List<NodeRecord> takers = incarnation.active() ? incarnation.takers() : List.of();
         if (takers.isEmpty() || manifest.version() == null) {
             return Optional.empty();
@@ -183,7 +183,7 @@
                         .with("node", owner.incarnation())
                         .with("candidates", takers.size())
                         .toString());
-        return Optional.of(new EntryAdvice(owner.http(), alternates, TTL_SECONDS, manifest.generation(), ticket));
+        return Optional.of(new EntryAssignment(owner.http(), alternates, TTL_SECONDS, manifest.generation(), ticket));
     }
 
     /**
@@ -205,7 +205,7 @@
         return new NodeStatus(
                 incarnation.name(),
                 settings.zone(),
-                ready(),
+                isReady(),
                 draining,
                 manifest.generation(),
                 states.size() - ended,
@@ -299,7 +299,7 @@
                 .whenCompleteAsync(
                         (handedOver, failure) -> exitWhenUnused(
                                 loop.clock().nanos()
-                                        + settings.timings().drainLimit().toNanos() * 2,
+                                        + settings.timings().drainTimeout().toNanos() * 2,
                                 done),
                         loop);
         return done;
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/NodeSettings.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/NodeSettings.java
@@ -15,34 +15,34 @@
     /**
      * How long a node waits for what.
      *
-     * @param heartbeat time between heartbeats to a peer
-     * @param suspectAfter silence of a peer after which others are asked about it
-     * @param probeWait how long to wait for their answers
-     * @param registryPoll time between reads of the node records
+     * @param heartbeatInterval time between heartbeats to a peer
+     * @param suspectTimeout silence of a peer after which others are asked about it
+     * @param probeTimeout how long to wait for their answers
+     * @param registryPollInterval time between reads of the node records
      * @param commitInterval least time between two journal writes
      * @param platformWritesPerSecond journal writes of the whole fleet; each node takes an equal share
      * @param platformTimeout after this time an answer of the platform counts as lost
-     * @param outageAfter a journal write unanswered for this long means that new work is refused
-     * @param stall a pause of the loop of this length makes the node check that it still owns its journal
-     * @param requestLimit a request that can't reach its owner for this long gets its final answer
+     * @param outageThreshold a journal write unanswered for this long means that new work is refused
+     * @param pauseThreshold a pause of the loop of this length makes the node check that it still owns its journal
+     * @param ownerLookupTimeout a request that can't reach its owner for this long gets its final answer
      * @param answerRetention how long ended programs stay readable
-     * @param ticketLife how long a ticket starts new work
-     * @param drainLimit the longest a drain waits for steps under way
+     * @param ticketLifetime how long a ticket starts new work
+     * @param drainTimeout the longest a drain waits for steps under way
      */
     public record Timings(
-            Duration heartbeat,
-            Duration suspectAfter,
-            Duration probeWait,
-            Duration registryPoll,
+            Duration heartbeatInterval,
+            Duration suspectTimeout,
+            Duration probeTimeout,
+            Duration registryPollInterval,
             Duration commitInterval,
             int platformWritesPerSecond,
             Duration platformTimeout,
-            Duration outageAfter,
-            Duration stall,
-            Duration requestLimit,
+            Duration outageThreshold,
+            Duration pauseThreshold,
+            Duration ownerLookupTimeout,
             Duration answerRetention,
-            Duration ticketLife,
-            Duration drainLimit) {
+            Duration ticketLifetime,
+            Duration drainTimeout) {
         /**
          * Timings that suit nine nodes in three zones a few milliseconds apart.
          *
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/CallerGateway.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/caller/CallerGateway.java
@@ -318,7 +318,8 @@
                 retryNow();
             }
             boolean noOwner = target == null;
-            if (noOwner && now - lastProgressNanos > timings.requestLimit().toNanos()) {
+            if (noOwner
+                    && now - lastProgressNanos > timings.ownerLookupTimeout().toNanos()) {
                 giveUp();
             }
             if (!closed && !noOwner) {
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramHost.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramHost.java
@@ -75,7 +75,7 @@
         this.manifest = manifest;
         this.steps = new StepRunner(environment, this, manifest, upstreams);
         this.door = new AdmissionDoor(loop, timings, journal, manifest);
-        this.guard = new PauseGuard(loop, timings.stall(), this::verifyOwnership);
+        this.guard = new PauseGuard(loop, timings.pauseThreshold(), this::verifyOwnership);
         this.strictGate = new FreshProofGate(guard, journal, timings.platformTimeout(), this::verifyOwnership);
         this.marks = new AdoptionMarks(journal);
     }
@@ -271,7 +271,7 @@
      * timeout, and a pause shorter than the guard notices may come on top.
      */
     void holdBack(LiveProgram live) {
-        Duration wait = timings.platformTimeout().plus(timings.stall());
+        Duration wait = timings.platformTimeout().plus(timings.pauseThreshold());
         live.heldUntilNanos(loop.clock().nanos() + wait.toNanos());
         loop.schedule(wait.plusMillis(1), () -> advance(live));
     }
@@ -375,7 +375,7 @@
                 }
             }
         });
-        loop.schedule(timings.outageAfter(), () -> {
+        loop.schedule(timings.outageThreshold(), () -> {
             if (!replied[0]) {
                 replied[0] = true;
                 sink.reply(new CallerReply.Refused(
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/FailureDetector.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/FailureDetector.java
@@ -113,7 +113,7 @@
      */
     public boolean hears(String incarnation) {
         return incarnation.equals(self)
-                || silence(incarnation) < timings.suspectAfter().toNanos();
+                || silence(incarnation) < timings.suspectTimeout().toNanos();
     }
 
     /**
@@ -133,7 +133,7 @@
         standOnRing();
         PeerMessage beat = new PeerMessage.Heartbeat(generation.getAsLong());
         ring.watchers(self).forEach(record -> send.accept(record, beat));
-        loop.schedule(timings.heartbeat(), this::beat);
+        loop.schedule(timings.heartbeatInterval(), this::beat);
     }
 
     /** Finds its neighbours. A node newly watched counts as heard now: what it sent went to others until now. */
@@ -150,7 +150,7 @@
             return;
         }
         long now = loop.clock().nanos();
-        if (now - lastCheckNanos > timings.suspectAfter().toNanos() / 2) {
+        if (now - lastCheckNanos > timings.suspectTimeout().toNanos() / 2) {
             // This node was paused. What it did not hear meanwhile says nothing about its peers: judging them now
             // would seal the journals of a healthy fleet.
             heardNanos.replaceAll((peer, heard) -> now);
@@ -168,7 +168,7 @@
         long now = loop.clock().nanos();
         long vouched = vouchedNanos.getOrDefault(peer.incarnation(), Long.MIN_VALUE / 2);
         long silence = Math.min(silence(peer.incarnation()), now - vouched);
-        if (silence < timings.suspectAfter().toNanos()) {
+        if (silence < timings.suspectTimeout().toNanos()) {
             return;
         }
         if (!suspectedNanos.containsKey(peer.incarnation())) {
@@ -178,11 +178,11 @@
         }
         boolean isolated =
                 unsealed.get().size() > 1 && unsealed.get().stream().noneMatch(other -> hears(other.incarnation()));
-        if (isolated && silence < timings.suspectAfter().toNanos() * ISOLATED_FACTOR) {
+        if (isolated && silence < timings.suspectTimeout().toNanos() * ISOLATED_FACTOR) {
             return;
         }
         long waited = now - suspectedNanos.get(peer.incarnation());
-        if (waited >= timings.probeWait().toNanos() * (1 + rank(peer.incarnation()))) {
+        if (waited >= timings.probeTimeout().toNanos() * (1 + rank(peer.incarnation()))) {
             suspectedNanos.put(peer.incarnation(), now);
             onDead.accept(peer);
         }
