--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Conversations.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Conversations.java
@@ -145,11 +145,11 @@
                 begin.program(),
                 found.grants().values().stream()
                         .filter(each -> each.state() == GrantState.SETTLED)
-                        .mapToInt(Grant::counted)
+                        .mapToInt(Grant::countedTokens)
                         .sum());
         int counted = found.grants().values().stream()
                 .filter(each -> !each.request().equals(begin.request()))
-                .mapToInt(Grant::counted)
+                .mapToInt(Grant::countedTokens)
                 .sum();
         if (begin.budget().isPresent()
                 && counted + begin.mostTokens() > begin.budget().getAsInt()) {
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Grant.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Grant.java
@@ -52,7 +52,7 @@
      *
      * @return tokens
      */
-    public int counted() {
+    public int countedTokens() {
         return state == GrantState.RELEASED ? 0 : tokens;
     }
 }
--- a/parsleydrift-relay/src/test/java/org/parsleydrift/relay/BrokenTurnTest.java
+++ b/parsleydrift-relay/src/test/java/org/parsleydrift/relay/BrokenTurnTest.java
@@ -178,7 +178,7 @@
 
     private int countedOf(String id) {
         CompletableFuture<Integer> counted = new CompletableFuture<>();
-        loop.execute(() -> counted.complete(grants.get(id).counted()));
+        loop.execute(() -> counted.complete(grants.get(id).countedTokens()));
         return counted.join();
     }
 
