--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/CuttableObjectStore.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/CuttableObjectStore.java
@@ -52,8 +52,8 @@
     }
 
     @Override
-    public CompletableFuture<List<VmEntry>> vms() {
-        return through(() -> fleet.store().vms());
+    public CompletableFuture<List<VmEntry>> listVms() {
+        return through(() -> fleet.store().listVms());
     }
 
     private <T> CompletableFuture<T> through(Supplier<CompletableFuture<T>> request) {
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetNode.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetNode.java
@@ -64,13 +64,13 @@
     /** The VM pauses; its connections stay open and silent. */
     public void freeze() {
         frozen = true;
-        loop.freeze();
+        loop.pause();
     }
 
     /** The VM goes on. */
     public void thaw() {
         frozen = false;
-        loop.thaw();
+        loop.resume();
     }
 
     /**
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetUpstreams.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetUpstreams.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
-import org.parsleydrift.kernel.LoopTimer;
+import org.parsleydrift.kernel.Cancellable;
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.upstream.CallClient;
 import org.parsleydrift.kernel.upstream.CallException;
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public LoopTimer turn(
+    public Cancellable runTurn(
             String runner, TurnRequest request, Consumer<String> tokens, CompletableFuture<TurnResult> done) {
         Stream stream = new Stream(runner, tokens, done);
         open.add(stream);
@@ -57,7 +57,7 @@
     }
 
     @Override
-    public CompletableFuture<List<EngineMemory>> memory(String runner) {
+    public CompletableFuture<List<EngineMemory>> listMemory(String runner) {
         CompletableFuture<List<EngineMemory>> answer = new CompletableFuture<>();
         if (fleet.network().passes(vm, runner)) {
             fleet.outside()
@@ -96,7 +96,7 @@
         private final String runner;
         private final Consumer<String> tokens;
         private final CompletableFuture<TurnResult> done;
-        private LoopTimer onEngine = () -> {};
+        private Cancellable onEngine = () -> {};
         private long lastTokenNanos;
         private boolean closed;
         /** Once a piece is lost the connection stays silent: TCP does not go on behind a hole. */
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/Soak.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/Soak.java
@@ -138,7 +138,7 @@
         checkManifests();
         fleet.live()
                 .forEach(node -> node.node().programs().values().stream()
-                        .filter(state -> !state.over())
+                        .filter(state -> !state.hasEnded())
                         .filter(state -> refusedNotRun.containsKey(state.id().toString()))
                         .forEach(state -> violations.add("refused as not run, and runs: " + state.id())));
     }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationReplica.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ConversationReplica.java
@@ -77,7 +77,7 @@
      */
     public void start(ReplicaCalls ownCalls) {
         calls = ownCalls;
-        loop.every(EXPIRY_PERIOD, () -> held.expire(nowMillis()));
+        loop.scheduleWithFixedDelay(EXPIRY_PERIOD, () -> held.expire(nowMillis()));
         takeOver();
     }
 
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaCalls.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/ReplicaCalls.java
@@ -10,9 +10,9 @@
 import java.util.function.Supplier;
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
+import org.parsleydrift.kernel.Cancellable;
 import org.parsleydrift.kernel.EventLoop;
 import org.parsleydrift.kernel.LogLine;
-import org.parsleydrift.kernel.LoopTimer;
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 import org.parsleydrift.kernel.codec.MessagePackFrames;
@@ -121,7 +121,7 @@
     public CompletableFuture<ReplicaReply> ask(String address, ReplicaRequest request, Duration patience) {
         long correlation = ++lastCorrelation;
         CompletableFuture<ReplicaReply> reply = new CompletableFuture<>();
-        LoopTimer timer = loop.schedule(patience, () -> gaveUp(address, correlation, patience));
+        Cancellable timer = loop.schedule(patience, () -> gaveUp(address, correlation, patience));
         boolean read = request instanceof ReplicaRequest.Read;
         waiting.put(correlation, new Waiting(reply, timer, read, loop.clock().nanos()));
         byte[] frame = encode(out -> {
@@ -288,5 +288,5 @@
         readNanos.merge(address, nanos, (known, newest) -> known + LATENCY_WEIGHT * (newest - known));
     }
 
-    private record Waiting(CompletableFuture<ReplicaReply> reply, LoopTimer timer, boolean read, long askedNanos) {}
+    private record Waiting(CompletableFuture<ReplicaReply> reply, Cancellable timer, boolean read, long askedNanos) {}
 }
--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetController.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/StoreSetController.java
@@ -99,7 +99,7 @@
 
     /** Begins the rounds. */
     public void start() {
-        loop.every(ROUND, this::round);
+        loop.scheduleWithFixedDelay(ROUND, this::round);
     }
 
     /**
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreCluster.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreCluster.java
@@ -84,7 +84,8 @@
     }
 
     private void poll(ManualEventLoop loop, ObjectKind kind, Consumer<List<SharedObject>> news) {
-        loop.every(POLL, () -> objects.list(kind).thenAccept(list -> loop.execute(() -> news.accept(list.objects()))));
+        loop.scheduleWithFixedDelay(
+                POLL, () -> objects.list(kind).thenAccept(list -> loop.execute(() -> news.accept(list.objects()))));
     }
 
     Store add(String name, boolean firstStart) {
--- a/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetTest.java
+++ b/parsleydrift-conversation/src/test/java/org/parsleydrift/conversation/StoreSetTest.java
@@ -188,12 +188,12 @@
     public void aMemberThatWakesInAnOldEpochDoesNotCountAlone() {
         StoreCluster cluster = StoreCluster.ofThree();
         Conversations entry = cluster.entry("e");
-        cluster.stores.get("a").loop.freeze();
+        cluster.stores.get("a").loop.pause();
         cluster.run(Duration.ofSeconds(2));
         cluster.add("d", false);
         cluster.run(CATCH_UP);
         cluster.keepTurn(entry, "t1", "", "one", "x\n");
-        cluster.stores.get("a").loop.thaw();
+        cluster.stores.get("a").loop.resume();
         cluster.run(CATCH_UP);
         assertChain(cluster, "t1", "one");
         assertTrue(cluster.stores.get("a").replica.complete());
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/CallerApi.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/CallerApi.java
@@ -9,8 +9,8 @@
 import org.parsleydrift.kernel.EventLoop;
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
+import org.parsleydrift.kernel.codec.InvalidJsonException;
 import org.parsleydrift.kernel.codec.JsonDocument;
-import org.parsleydrift.kernel.codec.JsonFaultsException;
 import org.parsleydrift.kernel.platform.StoreException;
 import org.parsleydrift.manifest.OperationSpec;
 import org.parsleydrift.node.Node;
@@ -89,7 +89,8 @@
                         exchange,
                         loop,
                         sink -> node.open(
-                                new CallerRequest.Attach(id, Long.parseLong(exchange.query("offset", "0"))), sink));
+                                new CallerRequest.Attach(id, Long.parseLong(exchange.queryParameter("offset", "0"))),
+                                sink));
             case "POST messages" -> {
                 JsonNode body = JsonDocument.MAPPER.readTree(exchange.body());
                 single(exchange, new CallerRequest.Send(id, text(body, "key"), text(body, "text")));
@@ -128,7 +129,7 @@
     }
 
     private void entry(HttpExchange exchange) {
-        node.assignEntryNode(exchange.query("team", "any"))
+        node.assignEntryNode(exchange.queryParameter("team", "any"))
                 .ifPresentOrElse(
                         advice -> exchange.respond(200, JSON, Answers.json(advice), Map.of()),
                         () -> Answers.refuse(
@@ -145,7 +146,7 @@
     }
 
     private void submitManifest(HttpExchange exchange) {
-        long expected = Long.parseLong(exchange.query("expected", "-1"));
+        long expected = Long.parseLong(exchange.queryParameter("expected", "-1"));
         node.submitManifest(exchange.body(), expected).whenComplete((version, failure) -> {
             if (failure == null) {
                 exchange.respond(200, JSON, "{\"generation\":" + version.generation() + "}\n", Map.of());
@@ -166,8 +167,8 @@
             error.put("peer", known.peer());
         }
         error.put("message", String.valueOf(cause.getMessage()));
-        if (cause instanceof JsonFaultsException faults) {
-            error.put("faults", faults.faults());
+        if (cause instanceof InvalidJsonException faults) {
+            error.put("faults", faults.errors());
         }
         return error;
     }
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpCallClient.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpCallClient.java
@@ -11,12 +11,12 @@
 import org.parsleydrift.kernel.upstream.CallException;
 import org.parsleydrift.kernel.upstream.CallFailure;
 import org.parsleydrift.kernel.upstream.CallRequest;
-import org.parsleydrift.wire.HttpAnswer;
 import org.parsleydrift.wire.HttpClient;
-import org.parsleydrift.wire.HttpFailure;
+import org.parsleydrift.wire.HttpClientResponse;
+import org.parsleydrift.wire.HttpException;
 import org.parsleydrift.wire.HttpRequestSpec;
 
-/** Tools and plain services over HTTP. Each call has a connection of its own: see {@link HttpRequestSpec#reuse()}. */
+/** Tools and plain services over HTTP. Each call has a connection of its own: see {@link HttpRequestSpec#reuseConnection()}. */
 final class HttpCallClient implements CallClient {
     private final HttpClient client;
 
@@ -38,7 +38,8 @@
                     if (failure == null) {
                         return good(upstream, answer);
                     }
-                    boolean sent = !(StepException.unwrap(failure) instanceof HttpFailure known) || known.sent();
+                    boolean sent =
+                            !(StepException.unwrap(failure) instanceof HttpException known) || known.isPossiblySent();
                     throw new CallException(
                             Step.CALL,
                             upstream,
@@ -48,7 +49,7 @@
                 });
     }
 
-    private static String good(String upstream, HttpAnswer answer) {
+    private static String good(String upstream, HttpClientResponse answer) {
         if (answer.status() == 200) {
             return answer.text();
         }
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpEngineClient.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpEngineClient.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
-import org.parsleydrift.kernel.LoopTimer;
+import org.parsleydrift.kernel.Cancellable;
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 import org.parsleydrift.kernel.codec.JsonDocument;
@@ -21,10 +21,10 @@
 import org.parsleydrift.kernel.upstream.EngineMemory;
 import org.parsleydrift.kernel.upstream.TurnRequest;
 import org.parsleydrift.kernel.upstream.TurnResult;
-import org.parsleydrift.wire.HttpAnswer;
 import org.parsleydrift.wire.HttpCall;
 import org.parsleydrift.wire.HttpClient;
-import org.parsleydrift.wire.HttpFailure;
+import org.parsleydrift.wire.HttpClientResponse;
+import org.parsleydrift.wire.HttpException;
 import org.parsleydrift.wire.HttpRequestSpec;
 import org.parsleydrift.wire.LineSplitter;
 
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public LoopTimer turn(
+    public Cancellable runTurn(
             String runner, TurnRequest request, Consumer<String> tokens, CompletableFuture<TurnResult> done) {
         Turn turn = new Turn(runner, request, tokens, done);
         turn.open();
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public CompletableFuture<List<EngineMemory>> memory(String runner) {
+    public CompletableFuture<List<EngineMemory>> listMemory(String runner) {
         return client.send(HttpRequestSpec.of(runner, "GET", "/v1/memory", SHORT))
                 .thenApply(answer -> {
                     try {
@@ -94,7 +94,7 @@
             body.put("skip", text.length());
             byte[] bytes = body.toString().getBytes(StandardCharsets.UTF_8);
             call = client.stream(new HttpRequestSpec(runner, "POST", "/v1/turns", bytes, SILENCE, true), this::take);
-            call.answer().whenComplete(this::closed);
+            call.response().whenComplete(this::closed);
         }
 
         private synchronized void cancel() {
@@ -103,7 +103,7 @@
         }
 
         private synchronized void take(byte[] bytes) {
-            lines.take(bytes);
+            lines.append(bytes);
         }
 
         private void takeLine(String json) {
@@ -144,7 +144,7 @@
                     node.path("output_tokens").asInt()));
         }
 
-        private synchronized void closed(HttpAnswer answer, Throwable failure) {
+        private synchronized void closed(HttpClientResponse answer, Throwable failure) {
             if (done.isDone() || cancelled) {
                 return;
             }
@@ -153,7 +153,7 @@
                 fail(leaving ? CallFailure.NOT_RUN : CallFailure.UNKNOWN, leaving, "status " + answer.status());
                 return;
             }
-            boolean sent = !(StepException.unwrap(failure) instanceof HttpFailure known) || known.sent();
+            boolean sent = !(StepException.unwrap(failure) instanceof HttpException known) || known.isPossiblySent();
             if (sent && resumes < RESUMES) {
                 // The connection was cut or fell silent; the engine goes on with the stream from where we are.
                 resumes++;
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpObjectStore.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpObjectStore.java
@@ -16,8 +16,8 @@
 import org.parsleydrift.kernel.platform.StoreFailure;
 import org.parsleydrift.kernel.platform.StoredObject;
 import org.parsleydrift.kernel.platform.VmEntry;
-import org.parsleydrift.wire.HttpAnswer;
 import org.parsleydrift.wire.HttpClient;
+import org.parsleydrift.wire.HttpClientResponse;
 import org.parsleydrift.wire.HttpRequestSpec;
 
 /** The platform's object API over HTTP. */
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public CompletableFuture<List<VmEntry>> vms() {
+    public CompletableFuture<List<VmEntry>> listVms() {
         return send("GET", "/v1/vms", new byte[0], SILENCE, "vms").thenApply(answer -> {
             try {
                 return JsonDocument.MAPPER.readValue(good("vms", answer).body(), new TypeReference<List<VmEntry>>() {});
@@ -86,7 +86,7 @@
         });
     }
 
-    private CompletableFuture<HttpAnswer> send(
+    private CompletableFuture<HttpClientResponse> send(
             String method, String target, byte[] body, Duration silence, String key) {
         return client.send(new HttpRequestSpec(address, method, target, body, silence, true))
                 .exceptionally(failure -> {
@@ -94,7 +94,7 @@
                 });
     }
 
-    private static Optional<StoredObject> found(String key, HttpAnswer answer) {
+    private static Optional<StoredObject> found(String key, HttpClientResponse answer) {
         if (answer.status() == 404 || answer.status() == 204) {
             return Optional.empty();
         }
@@ -102,11 +102,11 @@
         return Optional.of(new StoredObject(key, version, answer.body()));
     }
 
-    private static long version(String key, HttpAnswer answer) {
+    private static long version(String key, HttpClientResponse answer) {
         return json(key, good(key, answer)).path("version").asLong();
     }
 
-    private static HttpAnswer good(String key, HttpAnswer answer) {
+    private static HttpClientResponse good(String key, HttpClientResponse answer) {
         return switch (answer.status()) {
             case 200, 201 -> answer;
             case 409 -> throw new StoreException(StoreFailure.CONFLICT, key);
@@ -116,7 +116,7 @@
         };
     }
 
-    private static JsonNode json(String key, HttpAnswer answer) {
+    private static JsonNode json(String key, HttpClientResponse answer) {
         try {
             return JsonDocument.MAPPER.readTree(answer.text());
         } catch (JsonProcessingException fault) {
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/MeteredObjectStore.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/MeteredObjectStore.java
@@ -62,8 +62,8 @@
     }
 
     @Override
-    public CompletableFuture<List<VmEntry>> vms() {
-        return counted(reads, store.vms());
+    public CompletableFuture<List<VmEntry>> listVms() {
+        return counted(reads, store.listVms());
     }
 
     private <T> CompletableFuture<T> counted(Counter counter, CompletableFuture<T> answer) {
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/ParsleydriftDaemon.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/ParsleydriftDaemon.java
@@ -12,7 +12,7 @@
 import org.parsleydrift.kernel.LogLine;
 import org.parsleydrift.kernel.StepException;
 import org.parsleydrift.kernel.SystemClock;
-import org.parsleydrift.kernel.plugin.OutsidePlugin;
+import org.parsleydrift.kernel.plugin.ExternalSystemPlugin;
 import org.parsleydrift.kernel.plugin.PluginContext;
 import org.parsleydrift.kernel.plugin.PluginRegistry;
 import org.parsleydrift.node.Node;
@@ -52,14 +52,14 @@
                 receiver.receive(envelope);
             }
         });
-        OutsidePlugin plugin = PluginRegistry.outside(settings.plugin());
+        ExternalSystemPlugin plugin = PluginRegistry.find(settings.plugin());
         PluginContext context =
                 new PluginContext(loop, settings.platform(), Map.of(HttpClient.class, new HttpClient(threads)));
         NodeEnvironment environment = new NodeEnvironment(
                 loop,
-                new MeteredObjectStore(plugin.platform(context), meters),
-                plugin.engines(context),
-                plugin.calls(context),
+                new MeteredObjectStore(plugin.newObjectStore(context), meters),
+                plugin.newEngineClient(context),
+                plugin.newCallClient(context),
                 links,
                 new java.security.SecureRandom(),
                 meters);
--- a/parsleydrift-daemon/src/test/java/org/parsleydrift/daemon/DaemonSettingsTest.java
+++ b/parsleydrift-daemon/src/test/java/org/parsleydrift/daemon/DaemonSettingsTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.expectThrows;
 
 import java.time.Duration;
-import org.parsleydrift.kernel.codec.JsonFaultsException;
+import org.parsleydrift.kernel.codec.InvalidJsonException;
 import org.testng.annotations.Test;
 
 /** Settings are checked whole, with every fault at its place. */
@@ -22,9 +22,9 @@
 
     @Test
     public void everyFaultIsNamedAtOnce() {
-        JsonFaultsException faults = expectThrows(
-                JsonFaultsException.class,
+        InvalidJsonException faults = expectThrows(
+                InvalidJsonException.class,
                 () -> DaemonSettings.parse("s.json", "{\"vm\": \"a b\",\n \"zone\": \"\",\n \"hpt\": 1}"));
-        assertEquals(faults.faults().size(), 6, faults.getMessage());
+        assertEquals(faults.errors().size(), 6, faults.getMessage());
     }
 }
--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/Deadline.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/Deadline.java
@@ -2,8 +2,8 @@
 
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
+import org.parsleydrift.kernel.Cancellable;
 import org.parsleydrift.kernel.EventLoop;
-import org.parsleydrift.kernel.LoopTimer;
 import org.parsleydrift.kernel.platform.StoreException;
 import org.parsleydrift.kernel.platform.StoreFailure;
 
@@ -22,10 +22,10 @@
      * @param <T> the type of the answer
      * @return completes as the answer does, or fails at the deadline
      */
-    public static <T> CompletableFuture<T> bound(
+    public static <T> CompletableFuture<T> withTimeout(
             EventLoop loop, CompletableFuture<T> answer, Duration timeout, String key) {
         CompletableFuture<T> bounded = new CompletableFuture<>();
-        LoopTimer timer = loop.schedule(
+        Cancellable timer = loop.schedule(
                 timeout, () -> bounded.completeExceptionally(new StoreException(StoreFailure.UNKNOWN, key)));
         answer.whenComplete((value, failure) -> {
             timer.cancel();
--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalReader.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalReader.java
@@ -60,7 +60,7 @@
                                 ? setSeal(incarnation, 1, 1, seal)
                                 : segment(rows.getLast().key())
                                         .thenComposeAsync(
-                                                last -> last.sealed()
+                                                last -> last.hasSeal()
                                                         ? CompletableFuture.completedFuture(last.seal())
                                                         : setSeal(incarnation, last.sequence() + 1, last.base(), seal),
                                                 loop),
@@ -104,7 +104,7 @@
                                 return CompletableFuture.failedFuture(failure);
                             }
                             Segment there = Segment.decode(found.get().value(), key);
-                            return there.sealed()
+                            return there.hasSeal()
                                     ? CompletableFuture.completedFuture(there.seal())
                                     : setSeal(incarnation, there.sequence() + 1, there.base(), seal);
                         },
@@ -150,6 +150,6 @@
     }
 
     private <T> CompletableFuture<T> bounded(CompletableFuture<T> answer, String key) {
-        return Deadline.bound(loop, answer, options.answerTimeout(), key);
+        return Deadline.withTimeout(loop, answer, options.answerTimeout(), key);
     }
 }
--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalWriter.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/JournalWriter.java
@@ -94,7 +94,7 @@
      *
      * @param interval the new interval
      */
-    public void commitInterval(Duration interval) {
+    public void setCommitInterval(Duration interval) {
         commitInterval = interval;
     }
 
@@ -103,7 +103,7 @@
      *
      * @param newBase the lowest segment still needed
      */
-    public void base(long newBase) {
+    public void advanceBase(long newBase) {
         base = Math.max(base, newBase);
     }
 
@@ -121,7 +121,7 @@
      *
      * @return the number, 0 before the first
      */
-    public long sequence() {
+    public long durableSequence() {
         return sequence;
     }
 
@@ -130,7 +130,7 @@
      *
      * @return the time, zero if nothing is being written
      */
-    public Duration stalledFor() {
+    public Duration inFlightWriteAge() {
         return writing ? Duration.ofNanos(loop.clock().nanos() - writeStartedNanos) : Duration.ZERO;
     }
 
@@ -140,7 +140,7 @@
      *
      * @return the time since the start of the last write that became durable
      */
-    public Duration sinceDurable() {
+    public Duration timeSinceDurableWrite() {
         return Duration.ofNanos(loop.clock().nanos() - lastDurableNanos);
     }
 
@@ -149,7 +149,7 @@
      *
      * @return true if nothing waits
      */
-    public boolean idle() {
+    public boolean isIdle() {
         return !writing && waiting.isEmpty();
     }
 
@@ -158,7 +158,7 @@
      *
      * @return true if this incarnation is over
      */
-    public boolean fenced() {
+    public boolean isFenced() {
         return fenced != null;
     }
 
@@ -238,7 +238,7 @@
 
     private void judge(Segment mine, StoredObject found) {
         Segment there = Segment.decode(found.value(), found.key());
-        if (there.sealed()) {
+        if (there.hasSeal()) {
             fence(there.seal());
         } else {
             // Only the owner and sealers create objects here, and the owner writes one segment at a time: it is ours.
@@ -280,6 +280,6 @@
     }
 
     private <T> CompletableFuture<T> bounded(CompletableFuture<T> answer, String key) {
-        return Deadline.bound(loop, answer, options.answerTimeout(), key);
+        return Deadline.withTimeout(loop, answer, options.answerTimeout(), key);
     }
 }
--- a/parsleydrift-journal/src/main/java/org/parsleydrift/journal/Segment.java
+++ b/parsleydrift-journal/src/main/java/org/parsleydrift/journal/Segment.java
@@ -24,7 +24,7 @@
      *
      * @return true for a seal
      */
-    public boolean sealed() {
+    public boolean hasSeal() {
         return seal != null;
     }
 
--- a/parsleydrift-journal/src/test/java/org/parsleydrift/journal/JournalHistoryTest.java
+++ b/parsleydrift-journal/src/test/java/org/parsleydrift/journal/JournalHistoryTest.java
@@ -54,9 +54,9 @@
         IntStream.range(0, 2).forEach(n -> seal(scheduler, store, random, "s" + n, seals));
         if (random.nextBoolean()) {
             scheduler.advance(Duration.ofMillis(random.nextInt(300)));
-            owner.freeze();
+            owner.pause();
             scheduler.advance(Duration.ofMillis(random.nextInt(400)));
-            owner.thaw();
+            owner.resume();
         }
         scheduler.advance(Duration.ofSeconds(20));
         store.faults(PlatformFaults.NONE);
@@ -71,8 +71,8 @@
         assertEquals(there.stream().distinct().count(), there.size(), run);
         assertTrue(there.containsAll(acknowledged), run);
         assertEquals(there.stream().filter(acknowledged::contains).toList(), acknowledged, run);
-        assertEquals(segments.stream().filter(Segment::sealed).count(), 1, run);
-        assertTrue(segments.getLast().sealed(), run);
+        assertEquals(segments.stream().filter(Segment::hasSeal).count(), 1, run);
+        assertTrue(segments.getLast().hasSeal(), run);
         assertEquals(seals.stream().distinct().count(), 1, run);
     }
 
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/DisruptorEventLoop.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/DisruptorEventLoop.java
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public LoopTimer schedule(Duration delay, Runnable task) {
+    public Cancellable schedule(Duration delay, Runnable task) {
         long due = clock.nanos() + delay.toNanos();
         if (Thread.currentThread() == consumer) {
             return timers.add(due, task);
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/EventLoop.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/EventLoop.java
@@ -22,7 +22,7 @@
      * @param task what to run
      * @return a handle that cancels the task if it has not run
      */
-    LoopTimer schedule(Duration delay, Runnable task);
+    Cancellable schedule(Duration delay, Runnable task);
 
     /**
      * Runs a task again and again, each run one period after the previous one ended.
@@ -30,10 +30,10 @@
      * @param period the time between runs
      * @param task what to run
      */
-    default void every(Duration period, Runnable task) {
+    default void scheduleWithFixedDelay(Duration period, Runnable task) {
         schedule(period, () -> {
             task.run();
-            every(period, task);
+            scheduleWithFixedDelay(period, task);
         });
     }
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/ManualEventLoop.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/ManualEventLoop.java
@@ -25,17 +25,17 @@
     }
 
     @Override
-    public LoopTimer schedule(Duration delay, Runnable task) {
+    public Cancellable schedule(Duration delay, Runnable task) {
         return scheduler.at(scheduler.nanos() + delay.toNanos(), () -> dispatch(task));
     }
 
-    /** Holds back all tasks and timers until {@link #thaw}; time goes on, as it does for a paused VM. */
-    public void freeze() {
+    /** Holds back all tasks and timers until {@link #resume}; time goes on, as it does for a paused VM. */
+    public void pause() {
         frozen = true;
     }
 
     /** Runs what was held back, in order, and goes on. */
-    public void thaw() {
+    public void resume() {
         frozen = false;
         while (!held.isEmpty()) {
             execute(held.poll());
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/ManualScheduler.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/ManualScheduler.java
@@ -46,7 +46,7 @@
         nowNanos = end;
     }
 
-    LoopTimer at(long dueNanos, Runnable task) {
+    Cancellable at(long dueNanos, Runnable task) {
         return queue.add(dueNanos, task);
     }
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/TimerQueue.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/TimerQueue.java
@@ -32,7 +32,7 @@
     }
 
     /** A task and when it is due. */
-    static final class Entry implements LoopTimer {
+    static final class Entry implements Cancellable {
         private final long dueNanos;
         private final long order;
         private final Runnable task;
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/JsonFaultsException.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/InvalidJsonException.java
@@ -6,8 +6,8 @@
 import org.parsleydrift.kernel.StepException;
 
 /** A JSON text that was refused, with every fault found in it. */
-public final class JsonFaultsException extends StepException {
-    private final transient List<JsonFault> faults;
+public final class InvalidJsonException extends StepException {
+    private final transient List<JsonError> faults;
 
     /**
      * Makes an error.
@@ -16,8 +16,8 @@
      * @param name the name of the text, a file name for example
      * @param faults all faults
      */
-    public JsonFaultsException(Step step, String name, List<JsonFault> faults) {
-        super(step, name, faults.stream().map(JsonFault::toString).collect(Collectors.joining("; ")));
+    public InvalidJsonException(Step step, String name, List<JsonError> faults) {
+        super(step, name, faults.stream().map(JsonError::toString).collect(Collectors.joining("; ")));
         this.faults = List.copyOf(faults);
     }
 
@@ -26,7 +26,7 @@
      *
      * @return all faults, in the order of the checks
      */
-    public List<JsonFault> faults() {
+    public List<JsonError> errors() {
         return faults;
     }
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/JsonDocument.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/JsonDocument.java
@@ -50,7 +50,7 @@
      * @param name the name of the text, for errors
      * @param text JSON, comments allowed
      * @return the document
-     * @throws JsonFaultsException if it is no JSON
+     * @throws InvalidJsonException if it is no JSON
      */
     public static JsonDocument parse(Step step, String name, String text) {
         try {
@@ -60,8 +60,8 @@
             JsonLocation at = fault.getLocation();
             int line = at == null ? 1 : at.getLineNr();
             int column = at == null ? 1 : at.getColumnNr();
-            throw new JsonFaultsException(
-                    step, name, List.of(new JsonFault(line, column, "", fault.getOriginalMessage())));
+            throw new InvalidJsonException(
+                    step, name, List.of(new JsonError(line, column, "", fault.getOriginalMessage())));
         } catch (IOException fault) {
             throw new UncheckedIOException(fault);
         }
@@ -75,22 +75,22 @@
      * @param type the type to make
      * @param <T> the type to make
      * @return the value
-     * @throws JsonFaultsException with every fault, if there is one
+     * @throws InvalidJsonException with every fault, if there is one
      */
     public <T> T read(Class<?> owner, String schemaFile, Class<T> type) {
         Schema schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
                 .getSchema(resource(owner, schemaFile));
-        List<JsonFault> faults = schema.validate(root).stream()
-                .map(error -> fault(error.getInstanceLocation().toString(), error.getMessage()))
-                .sorted(java.util.Comparator.comparingInt(JsonFault::line).thenComparingInt(JsonFault::column))
+        List<JsonError> faults = schema.validate(root).stream()
+                .map(error -> errorAt(error.getInstanceLocation().toString(), error.getMessage()))
+                .sorted(java.util.Comparator.comparingInt(JsonError::line).thenComparingInt(JsonError::column))
                 .toList();
         if (!faults.isEmpty()) {
-            throw new JsonFaultsException(step, name, faults);
+            throw new InvalidJsonException(step, name, faults);
         }
         try {
             return MAPPER.treeToValue(root, type);
         } catch (JsonProcessingException fault) {
-            throw new JsonFaultsException(step, name, List.of(fault("", fault.getOriginalMessage())));
+            throw new InvalidJsonException(step, name, List.of(errorAt("", fault.getOriginalMessage())));
         }
     }
 
@@ -101,11 +101,11 @@
      * @param message what is wrong
      * @return the fault with its line and column
      */
-    public JsonFault fault(String pointer, String message) {
+    public JsonError errorAt(String pointer, String message) {
         JsonLocation at = locations.get(pointer);
         return at == null
-                ? new JsonFault(1, 1, pointer, message)
-                : new JsonFault(at.getLineNr(), at.getColumnNr(), pointer, message);
+                ? new JsonError(1, 1, pointer, message)
+                : new JsonError(at.getLineNr(), at.getColumnNr(), pointer, message);
     }
 
     private static Map<String, JsonLocation> locate(String text) throws IOException {
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/JsonFault.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/codec/JsonError.java
@@ -8,7 +8,7 @@
  * @param pointer the JSON pointer of the faulty value; empty for the document
  * @param message what is wrong
  */
-public record JsonFault(int line, int column, String pointer, String message) {
+public record JsonError(int line, int column, String pointer, String message) {
     @Override
     public String toString() {
         return line + ":" + column + " " + (pointer.isEmpty() ? "/" : pointer) + " " + message;
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/platform/ObjectStore.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/platform/ObjectStore.java
@@ -66,5 +66,5 @@
      *
      * @return its rows
      */
-    CompletableFuture<List<VmEntry>> vms();
+    CompletableFuture<List<VmEntry>> listVms();
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/OutsidePlugin.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/ExternalSystemPlugin.java
@@ -8,7 +8,7 @@
  * Speaks the protocols of one kind of outside systems. Plug-ins register themselves as services of this type; settings
  * choose one by name.
  */
-public interface OutsidePlugin {
+public interface ExternalSystemPlugin {
     /**
      * The name that settings use.
      *
@@ -22,7 +22,7 @@
      * @param context what the process offers
      * @return the client
      */
-    ObjectStore platform(PluginContext context);
+    ObjectStore newObjectStore(PluginContext context);
 
     /**
      * Opens a client of model engines.
@@ -30,7 +30,7 @@
      * @param context what the process offers
      * @return the client
      */
-    EngineClient engines(PluginContext context);
+    EngineClient newEngineClient(PluginContext context);
 
     /**
      * Opens a client of tools and plain services.
@@ -38,5 +38,5 @@
      * @param context what the process offers
      * @return the client
      */
-    CallClient calls(PluginContext context);
+    CallClient newCallClient(PluginContext context);
 }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/PluginContext.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/PluginContext.java
@@ -6,10 +6,11 @@
  * What a plug-in is given to open its client.
  *
  * @param loop the node's loop
- * @param platform the platform's address
- * @param shared things that plug-ins of one process share, by type
+ * @param platformAddress the platform's address
+ * @param sharedObjects things that plug-ins of one process share, by type
  */
-public record PluginContext(org.parsleydrift.kernel.EventLoop loop, String platform, Map<Class<?>, Object> shared) {
+public record PluginContext(
+        org.parsleydrift.kernel.EventLoop loop, String platformAddress, Map<Class<?>, Object> sharedObjects) {
     /**
      * Finds a shared thing.
      *
@@ -19,7 +20,7 @@
      * @throws IllegalStateException if the process has none
      */
     public <T> T require(Class<T> type) {
-        Object found = shared.get(type);
+        Object found = sharedObjects.get(type);
         if (found == null) {
             throw new IllegalStateException("no shared " + type.getName());
         }
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/PluginRegistry.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/plugin/PluginRegistry.java
@@ -16,8 +16,8 @@
      * @return the plug-in
      * @throws StepException if there is none of that name
      */
-    public static OutsidePlugin outside(String name) {
-        ServiceLoader<OutsidePlugin> all = ServiceLoader.load(OutsidePlugin.class);
+    public static ExternalSystemPlugin find(String name) {
+        ServiceLoader<ExternalSystemPlugin> all = ServiceLoader.load(ExternalSystemPlugin.class);
         return all.stream()
                 .map(ServiceLoader.Provider::get)
                 .filter(plugin -> plugin.name().equals(name))
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/CallException.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/CallException.java
@@ -37,7 +37,7 @@
      *
      * @return true if so
      */
-    public boolean leaving() {
+    public boolean isLeaving() {
         return leaving;
     }
 
--- a/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/EngineClient.java
+++ b/parsleydrift-kernel/src/main/java/org/parsleydrift/kernel/upstream/EngineClient.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
-import org.parsleydrift.kernel.LoopTimer;
+import org.parsleydrift.kernel.Cancellable;
 
 /** Model engines (brief, "What the platform gives"). Futures and tokens may come on any thread. */
 public interface EngineClient {
@@ -16,7 +16,8 @@
      * @param done receives the result, or the failure; exactly one of both, once
      * @return a handle whose cancel ends the stream on the engine
      */
-    LoopTimer turn(String runner, TurnRequest request, Consumer<String> tokens, CompletableFuture<TurnResult> done);
+    Cancellable runTurn(
+            String runner, TurnRequest request, Consumer<String> tokens, CompletableFuture<TurnResult> done);
 
     /**
      * Frees all that an engine holds for an owner. Idempotent.
@@ -33,5 +34,5 @@
      * @param runner the engine's address
      * @return its rows
      */
-    CompletableFuture<List<EngineMemory>> memory(String runner);
+    CompletableFuture<List<EngineMemory>> listMemory(String runner);
 }
--- a/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/ManifestParser.java
+++ b/parsleydrift-manifest/src/main/java/org/parsleydrift/manifest/ManifestParser.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.stream.Stream;
 import org.parsleydrift.kernel.Step;
+import org.parsleydrift.kernel.codec.InvalidJsonException;
 import org.parsleydrift.kernel.codec.JsonDocument;
-import org.parsleydrift.kernel.codec.JsonFault;
-import org.parsleydrift.kernel.codec.JsonFaultsException;
+import org.parsleydrift.kernel.codec.JsonError;
 
 /** Reads a manifest, whole or not at all. */
 public final class ManifestParser {
@@ -21,33 +21,33 @@
      * @param name the name of the text, for errors
      * @param text JSON with comments
      * @return the manifest
-     * @throws JsonFaultsException with every fault, its line and its column
+     * @throws InvalidJsonException with every fault, its line and its column
      */
     public static Manifest parse(String name, String text) {
         JsonDocument document = JsonDocument.parse(Step.MANIFEST, name, text);
         Manifest manifest = document.read(ManifestParser.class, SCHEMA, Manifest.class);
-        List<JsonFault> faults = Stream.concat(unknownModels(document, manifest), twiceUsedNames(document, manifest))
+        List<JsonError> faults = Stream.concat(unknownModels(document, manifest), twiceUsedNames(document, manifest))
                 .toList();
         if (!faults.isEmpty()) {
-            throw new JsonFaultsException(Step.MANIFEST, name, faults);
+            throw new InvalidJsonException(Step.MANIFEST, name, faults);
         }
         return manifest;
     }
 
-    private static Stream<JsonFault> unknownModels(JsonDocument document, Manifest manifest) {
+    private static Stream<JsonError> unknownModels(JsonDocument document, Manifest manifest) {
         return manifest.agents().entrySet().stream()
                 .filter(agent -> !manifest.models().containsKey(agent.getValue().model()))
-                .map(agent -> document.fault(
+                .map(agent -> document.errorAt(
                         "/agents/" + agent.getKey() + "/model",
                         "no such model: " + agent.getValue().model()));
     }
 
-    private static Stream<JsonFault> twiceUsedNames(JsonDocument document, Manifest manifest) {
+    private static Stream<JsonError> twiceUsedNames(JsonDocument document, Manifest manifest) {
         Map<String, OperationSpec> services = manifest.services();
-        List<JsonFault> faults = new ArrayList<>();
+        List<JsonError> faults = new ArrayList<>();
         manifest.tools().keySet().stream()
                 .filter(services::containsKey)
-                .map(tool -> document.fault("/tools/" + tool, "a service has the same name"))
+                .map(tool -> document.errorAt("/tools/" + tool, "a service has the same name"))
                 .forEach(faults::add);
         return faults.stream();
     }
--- a/parsleydrift-manifest/src/test/java/org/parsleydrift/manifest/ManifestParserTest.java
+++ b/parsleydrift-manifest/src/test/java/org/parsleydrift/manifest/ManifestParserTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.expectThrows;
 
 import java.util.List;
-import org.parsleydrift.kernel.codec.JsonFaultsException;
+import org.parsleydrift.kernel.codec.InvalidJsonException;
 import org.testng.annotations.Test;
 
 /** Manifests are taken whole or refused whole, with every fault at its place. */
@@ -26,21 +26,23 @@
     @Test
     public void everyFaultIsNamedWithLineAndColumn() {
         String bad = GOOD.replace("\"turns\": 1", "\"turns\": 0").replace("\"seconds\": 1", "\"secs\": 1");
-        JsonFaultsException faults = expectThrows(JsonFaultsException.class, () -> ManifestParser.parse("m.json", bad));
-        assertEquals(faults.faults().size(), 3, faults.getMessage());
-        faults.faults().forEach(fault -> assertEquals(fault.line(), 3, fault.toString()));
+        InvalidJsonException faults =
+                expectThrows(InvalidJsonException.class, () -> ManifestParser.parse("m.json", bad));
+        assertEquals(faults.errors().size(), 3, faults.getMessage());
+        faults.errors().forEach(fault -> assertEquals(fault.line(), 3, fault.toString()));
     }
 
     @Test
     public void unknownModelIsAFault() {
         String bad = GOOD.replace("\"model\": \"m\"", "\"model\": \"x\"");
-        JsonFaultsException faults = expectThrows(JsonFaultsException.class, () -> ManifestParser.parse("m.json", bad));
-        assertEquals(faults.faults().stream().map(fault -> fault.pointer()).toList(), List.of("/agents/a/model"));
+        InvalidJsonException faults =
+                expectThrows(InvalidJsonException.class, () -> ManifestParser.parse("m.json", bad));
+        assertEquals(faults.errors().stream().map(fault -> fault.pointer()).toList(), List.of("/agents/a/model"));
     }
 
     @Test
     public void brokenJsonAndDoubledKeysAreFaults() {
-        assertThrows(JsonFaultsException.class, () -> ManifestParser.parse("m.json", "{"));
-        assertThrows(JsonFaultsException.class, () -> ManifestParser.parse("m.json", "{\"models\":1,\"models\":2}"));
+        assertThrows(InvalidJsonException.class, () -> ManifestParser.parse("m.json", "{"));
+        assertThrows(InvalidJsonException.class, () -> ManifestParser.parse("m.json", "{\"models\":1,\"models\":2}"));
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/Incarnation.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/Incarnation.java
@@ -310,7 +310,7 @@
     private void shareWriteRate() {
         NodeSettings.Timings timings = settings.timings();
         long perWriter = (peers().size() + 1) * 1_000_000_000L / timings.platformWritesPerSecond();
-        journal.commitInterval(
+        journal.setCommitInterval(
                 Duration.ofNanos(Math.max(timings.commitInterval().toNanos(), perWriter)));
     }
 
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
@@ -193,7 +193,8 @@
      */
     public NodeStatus status() {
         Map<ProgramId, ProgramState> states = incarnation.host().states();
-        int ended = (int) states.values().stream().filter(ProgramState::over).count();
+        int ended =
+                (int) states.values().stream().filter(ProgramState::hasEnded).count();
         List<NodeStatus.PeerStatus> peers = incarnation.peers().stream()
                 .map(peer -> new NodeStatus.PeerStatus(
                         peer.incarnation(),
@@ -210,7 +211,7 @@
                 manifest.generation(),
                 states.size() - ended,
                 ended,
-                incarnation.journal().sequence(),
+                incarnation.journal().durableSequence(),
                 peers);
     }
 
@@ -419,7 +420,7 @@
     private void pollVms() {
         environment
                 .store()
-                .vms()
+                .listVms()
                 .whenCompleteAsync(
                         (rows, failure) -> {
                             if (failure == null) {
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/RunnerSweep.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/RunnerSweep.java
@@ -29,7 +29,7 @@
         this.node = node;
         this.runners = runners;
         this.gateway = gateway;
-        environment.loop().every(PERIOD, this::run);
+        environment.loop().scheduleWithFixedDelay(PERIOD, this::run);
     }
 
     private void run() {
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/call/CallRunner.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/call/CallRunner.java
@@ -144,7 +144,7 @@
                         .with("kind", kind)
                         .failure(failure)
                         .toString());
-        if (StepException.unwrap(failure) instanceof CallException known && known.leaving()) {
+        if (StepException.unwrap(failure) instanceof CallException known && known.isLeaving()) {
             leaving.put(known.peer(), loop.clock().nanos() + BELIEVE_REFUSAL.toNanos());
         }
         boolean again = kind == CallFailure.NOT_RUN || (kind == CallFailure.UNKNOWN && spec.repeatable());
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdmissionDoor.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdmissionDoor.java
@@ -35,12 +35,12 @@
 
     /** The refusal of a start, or empty if it may go on. */
     Optional<CallerReply.Refused> refusal(ProgramId id, boolean firstTry) {
-        long ageMinutes = loop.clock().instant().getEpochSecond() / SECONDS_PER_MINUTE - id.issued();
+        long ageMinutes = loop.clock().instant().getEpochSecond() / SECONDS_PER_MINUTE - id.issuedMinutes();
         if (ageMinutes > timings.ticketLifetime().toMinutes()) {
             return Optional.of(new CallerReply.Refused(
                     RefusalKind.EXPIRED, Step.ADMIT, "self", "the ticket is too old: ask for another", 0));
         }
-        if (journal.stalledFor().compareTo(timings.outageThreshold()) > 0) {
+        if (journal.inFlightWriteAge().compareTo(timings.outageThreshold()) > 0) {
             return Optional.of(notNow("the platform does not answer", firstTry));
         }
         return manifest.version() == null ? Optional.of(notNow("no manifest is in force", firstTry)) : Optional.empty();
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdoptionMarks.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/AdoptionMarks.java
@@ -18,11 +18,11 @@
 
     /** Keeps the journal from here on, since a mark is about to follow. */
     void expect(String share) {
-        writtenFrom.put(share, journal.sequence() + 1);
+        writtenFrom.put(share, journal.durableSequence() + 1);
     }
 
     CompletableFuture<Void> write(String share) {
-        long from = journal.sequence() + 1;
+        long from = journal.durableSequence() + 1;
         return journal.append(MessagePackCodec.encode(new JournalRecord.Adopted(share)))
                 .durable()
                 .thenRun(() -> writtenFrom.computeIfPresent(share, (any, before) -> from));
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/FreshProofGate.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/FreshProofGate.java
@@ -32,7 +32,7 @@
     }
 
     private void passFresh(Runnable attempt, Runnable dropped) {
-        if (journal.sinceDurable().compareTo(goodFor) < 0) {
+        if (journal.timeSinceDurableWrite().compareTo(goodFor) < 0) {
             attempt.run();
             return;
         }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/JournalCompactor.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/JournalCompactor.java
@@ -47,7 +47,7 @@
     }
 
     private void run() {
-        if (stopped || journal.fenced()) {
+        if (stopped || journal.isFenced()) {
             return;
         }
         long base = journal.durableBase();
@@ -59,8 +59,8 @@
                     .exceptionally(failure -> null);
         }
         deletedBelow = Math.max(deletedBelow, end);
-        host.rewriteOlderThan(journal.sequence() - KEPT_SEGMENTS);
-        journal.base(host.oldestNeeded());
+        host.rewriteOlderThan(journal.durableSequence() - KEPT_SEGMENTS);
+        journal.advanceBase(host.oldestNeeded());
         environment.loop().schedule(PERIOD, this::run);
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/JournalReplay.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/JournalReplay.java
@@ -13,8 +13,8 @@
 import org.parsleydrift.program.HistoryEntry;
 import org.parsleydrift.program.ProgramEvent;
 import org.parsleydrift.program.ProgramId;
-import org.parsleydrift.program.ProgramMachine;
 import org.parsleydrift.program.ProgramState;
+import org.parsleydrift.program.ProgramStateMachine;
 
 /** Programs as a journal tells them. */
 public final class JournalReplay {
@@ -80,10 +80,10 @@
 
     private void applyEvent(ProgramId id, ProgramEvent event) {
         switch (event) {
-            case ProgramEvent.Started started -> programs.putIfAbsent(id, ProgramMachine.start(started));
-            case ProgramEvent.CallStarted started -> programs.putIfAbsent(id, ProgramMachine.start(started));
+            case ProgramEvent.Started started -> programs.putIfAbsent(id, ProgramStateMachine.start(started));
+            case ProgramEvent.CallStarted started -> programs.putIfAbsent(id, ProgramStateMachine.start(started));
             case ProgramEvent.Restored restored -> programs.put(id, withHistories(restored.state()));
-            default -> programs.computeIfPresent(id, (any, state) -> ProgramMachine.apply(state, event));
+            default -> programs.computeIfPresent(id, (any, state) -> ProgramStateMachine.apply(state, event));
         }
     }
 
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/LiveProgram.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/LiveProgram.java
@@ -6,17 +6,17 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import org.parsleydrift.journal.JournalEntry;
-import org.parsleydrift.kernel.LoopTimer;
+import org.parsleydrift.kernel.Cancellable;
 import org.parsleydrift.program.BudgetLedger;
 import org.parsleydrift.program.ProgramEvent;
-import org.parsleydrift.program.ProgramMachine;
 import org.parsleydrift.program.ProgramState;
+import org.parsleydrift.program.ProgramStateMachine;
 
 /** A program on its owner: its state, and what is under way for it. Confined to the node's loop. */
 final class LiveProgram {
     private ProgramState state;
     private BudgetLedger ledger;
-    private final Map<String, LoopTimer> running = new HashMap<>();
+    private final Map<String, Cancellable> running = new HashMap<>();
     private final Map<String, Integer> undurableTurns = new HashMap<>();
     private final List<Attachment> attachments = new ArrayList<>();
     private final StringBuilder provisional = new StringBuilder();
@@ -40,7 +40,7 @@
 
     /** Applies an event that was handed to the journal as the given entry. */
     void apply(ProgramEvent event, JournalEntry entry) {
-        state = ProgramMachine.apply(state, event);
+        state = ProgramStateMachine.apply(state, event);
         lastEntry = entry;
         if (event instanceof ProgramEvent.TurnEnded ended) {
             undurableTurns.merge(ended.path(), 1, Integer::sum);
@@ -77,7 +77,7 @@
         ledger = changed;
     }
 
-    Map<String, LoopTimer> running() {
+    Map<String, Cancellable> running() {
         return running;
     }
 
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramFacts.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramFacts.java
@@ -14,7 +14,7 @@
         facts.put("program", state.id().toString());
         facts.put("agent", state.agent());
         facts.put("generation", Long.toString(state.generation()));
-        facts.put("end", state.over() ? state.end().name() : "-");
+        facts.put("end", state.hasEnded() ? state.end().name() : "-");
         facts.put("detail", state.detail());
         facts.put("under_way", String.join(",", live.running().keySet()));
         facts.put("agents", Integer.toString(state.agents().size()));
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramHost.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/ProgramHost.java
@@ -12,9 +12,9 @@
 import java.util.function.Function;
 import org.parsleydrift.journal.JournalEntry;
 import org.parsleydrift.journal.JournalWriter;
+import org.parsleydrift.kernel.Cancellable;
 import org.parsleydrift.kernel.EventLoop;
 import org.parsleydrift.kernel.LogLine;
-import org.parsleydrift.kernel.LoopTimer;
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.codec.MessagePackCodec;
 import org.parsleydrift.manifest.AgentSpec;
@@ -30,8 +30,8 @@
 import org.parsleydrift.program.ProgramEnd;
 import org.parsleydrift.program.ProgramEvent;
 import org.parsleydrift.program.ProgramId;
-import org.parsleydrift.program.ProgramMachine;
 import org.parsleydrift.program.ProgramState;
+import org.parsleydrift.program.ProgramStateMachine;
 
 /** The programs that this incarnation owns. Confined to the node's loop. */
 public final class ProgramHost {
@@ -126,7 +126,7 @@
             programs.put(state.id(), live);
             live.oldestNeeded(1);
             rewrite(live);
-            if (state.over()) {
+            if (state.hasEnded()) {
                 forgetLater(live);
             } else {
                 steps.settleLost(live);
@@ -162,7 +162,7 @@
      * @return true if the journal can be sealed without cutting a step
      */
     public boolean quiet() {
-        return journal.idle()
+        return journal.isIdle()
                 && programs.values().stream().allMatch(live -> live.running().isEmpty());
     }
 
@@ -171,7 +171,7 @@
         stopped = true;
         guard.stop();
         programs.values().forEach(live -> {
-            live.running().values().forEach(LoopTimer::cancel);
+            live.running().values().forEach(Cancellable::cancel);
             live.running().clear();
             List.copyOf(live.attachments()).forEach(each -> each.end(new CallerReply.Moved()));
         });
@@ -197,7 +197,7 @@
      */
     public boolean running(ProgramId id) {
         LiveProgram live = programs.get(id);
-        return live != null && !live.state().over();
+        return live != null && !live.state().hasEnded();
     }
 
     /**
@@ -220,11 +220,11 @@
                 .mapToLong(LiveProgram::oldestNeeded)
                 .min()
                 .orElse(Long.MAX_VALUE);
-        return Math.min(journal.sequence() + 1, Math.min(programsFrom, marks.oldestNeeded()));
+        return Math.min(journal.durableSequence() + 1, Math.min(programsFrom, marks.oldestNeeded()));
     }
 
     private void rewrite(LiveProgram live) {
-        long from = journal.sequence() + 1;
+        long from = journal.durableSequence() + 1;
         live.rewriting(true);
         Snapshots.append(journal, live);
         live.durable().thenRun(() -> {
@@ -246,10 +246,10 @@
     /** Hands an event to the journal and applies it. */
     JournalEntry record(LiveProgram live, ProgramEvent event) {
         ProgramId id = live.state().id();
-        boolean wasOver = live.state().over();
+        boolean wasOver = live.state().hasEnded();
         JournalEntry entry = journal.append(MessagePackCodec.encode(new JournalRecord.OfProgram(id, event)));
         live.apply(event, entry);
-        if (!wasOver && live.state().over()) {
+        if (!wasOver && live.state().hasEnded()) {
             ended(live);
         }
         entry.durable().thenRun(() -> advance(live));
@@ -281,7 +281,7 @@
         Runnable begin = () -> {
             if (active(live) && !draining && loop.clock().nanos() >= live.heldUntilNanos()) {
                 long now = loop.clock().instant().toEpochMilli();
-                ProgramMachine.next(live.state(), now).stream()
+                ProgramStateMachine.nextSteps(live.state(), now).stream()
                         .filter(step -> !live.running().containsKey(step.key()))
                         .toList()
                         .forEach(step -> steps.begin(live, step));
@@ -312,7 +312,7 @@
                 spec.budget(),
                 version.generation(),
                 loop.clock().instant().toEpochMilli());
-        LiveProgram live = add(ProgramMachine.start(started), started);
+        LiveProgram live = add(ProgramStateMachine.start(started), started);
         expireLater(live);
         return whenAccepted(live, sink, () -> sink.reply(accepted(live)));
     }
@@ -338,7 +338,7 @@
                 call.body(),
                 manifest.version().generation(),
                 loop.clock().instant().toEpochMilli());
-        LiveProgram live = add(ProgramMachine.start(started), started);
+        LiveProgram live = add(ProgramStateMachine.start(started), started);
         advance(live);
         return attach(live, 0, sink);
     }
@@ -346,7 +346,7 @@
     private LiveProgram add(ProgramState state, ProgramEvent first) {
         LiveProgram live = new LiveProgram(state);
         programs.put(state.id(), live);
-        live.oldestNeeded(journal.sequence() + 1);
+        live.oldestNeeded(journal.durableSequence() + 1);
         LOG.log(
                 Logger.Level.INFO,
                 LogLine.of("program_accepted")
@@ -401,7 +401,7 @@
     }
 
     private Runnable send(LiveProgram live, CallerRequest.Send send, ReplySink sink) {
-        if (live.state().over() && !live.state().messages().containsKey(send.key())) {
+        if (live.state().hasEnded() && !live.state().messages().containsKey(send.key())) {
             return Refusals.refuse(sink, Refusals.notRun("the program is over", 0));
         }
         if (!live.state().messages().containsKey(send.key())) {
@@ -412,7 +412,7 @@
     }
 
     private Runnable cancel(LiveProgram live, ReplySink sink) {
-        if (!live.state().over()) {
+        if (!live.state().hasEnded()) {
             record(live, new ProgramEvent.Stopped(ProgramEnd.CANCELLED, "by the caller"));
         }
         return whenAccepted(live, sink, () -> sink.reply(accepted(live)));
@@ -448,7 +448,7 @@
     }
 
     private void ended(LiveProgram live) {
-        live.running().values().forEach(LoopTimer::cancel);
+        live.running().values().forEach(Cancellable::cancel);
         live.running().clear();
         ProgramState state = live.state();
         LOG.log(
@@ -471,7 +471,7 @@
 
     /** Tells callers the end only once it is durable: a successor could otherwise come to another one. */
     private void tellEnd(LiveProgram live) {
-        if (!live.state().over() || !live.isDurable() || live.durable().isCompletedExceptionally()) {
+        if (!live.state().hasEnded() || !live.isDurable() || live.durable().isCompletedExceptionally()) {
             return;
         }
         ProgramState state = live.state();
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Snapshots.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/Snapshots.java
@@ -29,7 +29,7 @@
     }
 
     private static ProgramState appendHistories(JournalWriter journal, ProgramState whole) {
-        ProgramState state = whole.over() ? whole.condensed() : whole;
+        ProgramState state = whole.hasEnded() ? whole.compacted() : whole;
         state.agents().values().stream()
                 .flatMap(agent -> pieces(state, agent).stream())
                 .forEach(piece -> journal.append(MessagePackCodec.encode(piece)));
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/StepRunner.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/StepRunner.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Stream;
+import org.parsleydrift.kernel.Cancellable;
 import org.parsleydrift.kernel.EventLoop;
 import org.parsleydrift.kernel.LogLine;
-import org.parsleydrift.kernel.LoopTimer;
 import org.parsleydrift.kernel.upstream.CallRequest;
 import org.parsleydrift.kernel.upstream.TurnResult;
 import org.parsleydrift.manifest.AgentSpec;
@@ -32,7 +32,7 @@
 /** Carries out the steps of programs. Confined to the node's loop. */
 final class StepRunner {
     private static final Logger LOG = System.getLogger(StepRunner.class.getName());
-    private static final LoopTimer NOTHING = () -> {};
+    private static final Cancellable NOTHING = () -> {};
     private static final Duration BACKOFF = Duration.ofMillis(100);
     private static final int MAX_BACKOFF_SHIFT = 5;
     /** One turn may run while the one before it is not durable yet; a lost owner loses two turns at most. */
@@ -88,7 +88,7 @@
         AgentSpec spec = manifest.manifest().agents().get(agent.agent());
         int most = spec == null ? 0 : spec.turnTokens() * (1 + MAX_UNDURABLE_TURNS);
         int charge = live.ledger().grant(most);
-        if (charge > 0 && !live.state().over()) {
+        if (charge > 0 && !live.state().hasEnded()) {
             live.ledger(live.ledger().settle(0, charge));
             host.record(live, new ProgramEvent.TurnLost(agent.path(), agent.turns(), charge));
         }
@@ -216,7 +216,7 @@
     }
 
     private void send(LiveProgram live, ProgramStep.MakeCall step, OperationSpec spec) {
-        if (!host.active(live) || live.state().over()) {
+        if (!host.active(live) || live.state().hasEnded()) {
             return;
         }
         CallRequest request = new CallRequest(step.callId(), step.tool(), step.arguments());
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/manifest/ManifestKeeper.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/manifest/ManifestKeeper.java
@@ -226,6 +226,6 @@
     }
 
     private <T> CompletableFuture<T> bounded(CompletableFuture<T> answer) {
-        return Deadline.bound(loop, answer, timeout, KEY);
+        return Deadline.withTimeout(loop, answer, timeout, KEY);
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/NodeRegistry.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/membership/NodeRegistry.java
@@ -186,6 +186,6 @@
     }
 
     private <T> CompletableFuture<T> bounded(CompletableFuture<T> answer) {
-        return Deadline.bound(environment.loop(), answer, timings.platformTimeout(), NodeRecord.prefix());
+        return Deadline.withTimeout(environment.loop(), answer, timings.platformTimeout(), NodeRecord.prefix());
     }
 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/ownership/Takeover.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/ownership/Takeover.java
@@ -273,7 +273,7 @@
     }
 
     private static void requireSealed(String journal, List<Segment> segments) {
-        if (segments.isEmpty() || !segments.getLast().sealed()) {
+        if (segments.isEmpty() || !segments.getLast().hasSeal()) {
             throw new StepException(Step.TAKEOVER, journal, "the journal is not sealed");
         }
     }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/RunnerPool.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/placement/RunnerPool.java
@@ -13,8 +13,8 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
+import org.parsleydrift.kernel.Cancellable;
 import org.parsleydrift.kernel.LogLine;
-import org.parsleydrift.kernel.LoopTimer;
 import org.parsleydrift.kernel.StepException;
 import org.parsleydrift.kernel.upstream.CallException;
 import org.parsleydrift.kernel.upstream.CallFailure;
@@ -108,7 +108,7 @@
      * @param task the turn
      * @return cancels it, in the queue or on its engine
      */
-    public LoopTimer submit(TurnTask task) {
+    public Cancellable submit(TurnTask task) {
         Waiting waiting = new Waiting(task);
         queue.add(waiting);
         place();
@@ -138,7 +138,7 @@
      * @return its rows, completed on the node's loop
      */
     public CompletableFuture<List<EngineMemory>> memory(String address) {
-        return environment.engines().memory(address);
+        return environment.engines().listMemory(address);
     }
 
     /**
@@ -218,7 +218,7 @@
                 new TurnRequest(task.streamId(), task.program(), task.model(), task.prompt(), task.maxTokens());
         waiting.stream = environment
                 .engines()
-                .turn(
+                .runTurn(
                         runner.address(),
                         request,
                         text -> environment.loop().execute(() -> {
@@ -259,7 +259,7 @@
                         .with("runner", runner.address())
                         .failure(failure)
                         .toString());
-        if (StepException.unwrap(failure) instanceof CallException known && known.leaving()) {
+        if (StepException.unwrap(failure) instanceof CallException known && known.isLeaving()) {
             avoid(runner, BELIEVE_REFUSAL);
         } else {
             avoid(runner, AVOID_AFTER_FAILURE);
@@ -284,7 +284,7 @@
     /** A turn in the queue or on an engine. */
     private static final class Waiting {
         private final TurnTask task;
-        private LoopTimer stream;
+        private Cancellable stream;
         private boolean cancelled;
 
         private Waiting(TurnTask task) {
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramId.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramId.java
@@ -11,11 +11,11 @@
  * first ticket, so it always leads to the journal in which the first attempt may stand.
  *
  * @param journal the node incarnation whose journal the caller's ticket names
- * @param issued when the ticket was issued, in minutes since the epoch; old tickets start nothing new
+ * @param issuedMinutes when the ticket was issued, in minutes since the epoch; old tickets start nothing new
  * @param team the caller's team
  * @param key the caller's own key
  */
-public record ProgramId(String journal, long issued, String team, String key) {
+public record ProgramId(String journal, long issuedMinutes, String team, String key) {
     private static final Pattern PART = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
     private static final String SEPARATOR = "~";
 
@@ -58,7 +58,7 @@
      * @return journal and time of issue
      */
     public String ticket() {
-        return journal + SEPARATOR + issued;
+        return journal + SEPARATOR + issuedMinutes;
     }
 
     private static long minutes(String text) {
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramState.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramState.java
@@ -55,7 +55,7 @@
      *
      * @return true once it has an end
      */
-    public boolean over() {
+    public boolean hasEnded() {
         return end != null;
     }
 
@@ -96,7 +96,7 @@
      *
      * @return the state without sub-agents, inputs and messages
      */
-    public ProgramState condensed() {
+    public ProgramState compacted() {
         List<HistoryEntry> kept = root().history().stream()
                 .filter(entry -> entry.kind() == HistoryEntry.Kind.MODEL
                         || (root().turns() == 0 && entry.kind() == HistoryEntry.Kind.TOOL))
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramMachine.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramStateMachine.java
@@ -13,10 +13,10 @@
  * The life of a program as a pure state machine: events change the state, and the state alone says what comes next
  * (docs/design/programs.md).
  */
-public final class ProgramMachine {
+public final class ProgramStateMachine {
     private static final int PLAIN_CALL_SECONDS = 3600;
 
-    private ProgramMachine() {}
+    private ProgramStateMachine() {}
 
     /**
      * Makes the state of a program that was just accepted.
@@ -80,7 +80,7 @@
      * @return the state after
      */
     public static ProgramState apply(ProgramState state, ProgramEvent event) {
-        if (state.over()) {
+        if (state.hasEnded()) {
             return state;
         }
         ProgramState changed = switch (event) {
@@ -104,14 +104,14 @@
      * @param nowMillis the present time in milliseconds since the epoch
      * @return steps in order of their agents' paths; empty if it waits or is over
      */
-    public static List<ProgramStep> next(ProgramState state, long nowMillis) {
-        if (state.over()) {
+    public static List<ProgramStep> nextSteps(ProgramState state, long nowMillis) {
+        if (state.hasEnded()) {
             return List.of();
         }
         return limit(state, nowMillis)
                 .map(List::of)
                 .orElseGet(() -> state.agents().values().stream()
-                        .flatMap(agent -> next(agent).stream())
+                        .flatMap(agent -> nextStep(agent).stream())
                         .toList());
     }
 
@@ -122,7 +122,7 @@
      * @param callId the action's id
      * @return the action, if it is at the head of its agent's list
      */
-    public static Optional<PendingAction> head(ProgramState state, String callId) {
+    public static Optional<PendingAction> findPendingCall(ProgramState state, String callId) {
         return owner(state, callId).map(agent -> agent.pending().getFirst());
     }
 
@@ -159,7 +159,7 @@
         return Optional.empty();
     }
 
-    private static Optional<ProgramStep> next(AgentState agent) {
+    private static Optional<ProgramStep> nextStep(AgentState agent) {
         if (agent.done()) {
             return Optional.empty();
         }
@@ -228,7 +228,7 @@
     }
 
     private static Optional<ProgramState> settleOnce(ProgramState state) {
-        if (state.over()) {
+        if (state.hasEnded()) {
             return Optional.empty();
         }
         return state.agents().values().stream()
--- a/parsleydrift-program/src/test/java/org/parsleydrift/program/ProgramMachineTest.java
+++ b/parsleydrift-program/src/test/java/org/parsleydrift/program/ProgramMachineTest.java
@@ -15,7 +15,7 @@
     private static final ProgramId ID = ProgramId.parse("vm1-1~10~team~key");
 
     private static ProgramState begin(Budget budget) {
-        return ProgramMachine.start(new ProgramEvent.Started(ID, "a", "prompt", budget, 1, 0));
+        return ProgramStateMachine.start(new ProgramEvent.Started(ID, "a", "prompt", budget, 1, 0));
     }
 
     private static Budget budget(int turns, int calls) {
@@ -23,7 +23,7 @@
     }
 
     private static ProgramState turn(ProgramState state, String path, int turn, Action... actions) {
-        return ProgramMachine.apply(
+        return ProgramStateMachine.apply(
                 state, new ProgramEvent.TurnEnded(path, turn, "t" + turn + " ", List.of(actions), 5));
     }
 
@@ -33,7 +33,7 @@
                 turn(begin(budget(9, 9)), "0", 0, new Action.CallTool("x", "1"), new Action.CallTool("x", "2"));
         String first = ID + "/0/0/0";
         assertEquals(keys(state), List.of("call/" + first));
-        state = ProgramMachine.apply(state, new ProgramEvent.CallEnded(first, CallOutcome.OK, "yes"));
+        state = ProgramStateMachine.apply(state, new ProgramEvent.CallEnded(first, CallOutcome.OK, "yes"));
         assertEquals(keys(state), List.of("call/" + ID + "/0/0/1"));
     }
 
@@ -42,7 +42,8 @@
     public void lateAndCrossedEventsChangeNothing() {
         ProgramState state = turn(begin(budget(9, 9)), "0", 0, new Action.CallTool("x", "1"));
         assertEquals(
-                ProgramMachine.apply(state, new ProgramEvent.CallEnded(ID + "/0/7/0", CallOutcome.OK, "late")), state);
+                ProgramStateMachine.apply(state, new ProgramEvent.CallEnded(ID + "/0/7/0", CallOutcome.OK, "late")),
+                state);
         assertEquals(turn(state, "0", 0), state);
         assertEquals(turn(state, "0.5", 0), state);
     }
@@ -61,11 +62,11 @@
     @Test
     public void messagesAreReadOnceAndInOrder() {
         ProgramState state = begin(budget(9, 9));
-        state = ProgramMachine.apply(state, new ProgramEvent.MessageArrived("m1", "one"));
-        state = ProgramMachine.apply(state, new ProgramEvent.MessageArrived("m1", "one"));
+        state = ProgramStateMachine.apply(state, new ProgramEvent.MessageArrived("m1", "one"));
+        state = ProgramStateMachine.apply(state, new ProgramEvent.MessageArrived("m1", "one"));
         state = turn(state, "0", 0, new Action.AwaitMessage(), new Action.AwaitMessage());
         assertEquals(keys(state), List.of());
-        state = ProgramMachine.apply(state, new ProgramEvent.MessageArrived("m2", "two"));
+        state = ProgramStateMachine.apply(state, new ProgramEvent.MessageArrived("m2", "two"));
         assertEquals(keys(state), List.of("turn/0/1"));
         assertEquals(state.root().history().getLast().text(), "two");
     }
@@ -75,11 +76,12 @@
         assertEquals(stop(turn(begin(budget(1, 9)), "0", 0)), ProgramEnd.BUDGET_SPENT);
         assertEquals(stop(turn(begin(budget(9, 0)), "0", 0, new Action.CallTool("x", "1"))), ProgramEnd.BUDGET_SPENT);
         ProgramState late = begin(budget(9, 9));
-        assertTrue(ProgramMachine.next(late, 10_000).getFirst() instanceof ProgramStep.Stop);
+        assertTrue(ProgramStateMachine.nextSteps(late, 10_000).getFirst() instanceof ProgramStep.Stop);
         ProgramState loop = begin(budget(9, 9));
         for (int i = 0; i < 3; i++) {
             loop = turn(loop, "0", i, new Action.CallTool("x", "same"));
-            loop = ProgramMachine.apply(loop, new ProgramEvent.CallEnded(ID + "/0/" + i + "/0", CallOutcome.OK, ""));
+            loop = ProgramStateMachine.apply(
+                    loop, new ProgramEvent.CallEnded(ID + "/0/" + i + "/0", CallOutcome.OK, ""));
         }
         assertEquals(stop(loop), ProgramEnd.LOOP);
     }
@@ -116,10 +118,12 @@
     }
 
     private static List<String> keys(ProgramState state) {
-        return ProgramMachine.next(state, 0).stream().map(ProgramStep::key).toList();
+        return ProgramStateMachine.nextSteps(state, 0).stream()
+                .map(ProgramStep::key)
+                .toList();
     }
 
     private static ProgramEnd stop(ProgramState state) {
-        return ((ProgramStep.Stop) ProgramMachine.next(state, 0).getFirst()).end();
+        return ((ProgramStep.Stop) ProgramStateMachine.nextSteps(state, 0).getFirst()).end();
     }
 }
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerServer.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/CallerServer.java
@@ -40,7 +40,7 @@
             Relay relay,
             Supplier<CallerLimits> limits) {
         this.limits = limits;
-        this.listener = threads.listener()
+        this.listener = threads.serverBootstrap()
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -53,7 +53,8 @@
                 .bind(address)
                 .syncUninterruptibly()
                 .channel();
-        loop.every(IDLE_CHECK, () -> List.copyOf(connections).forEach(each -> each.checkIdle(limits.get())));
+        loop.scheduleWithFixedDelay(
+                IDLE_CHECK, () -> List.copyOf(connections).forEach(each -> each.checkIdle(limits.get())));
     }
 
     /**
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/QueueWait.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/QueueWait.java
@@ -1,8 +1,8 @@
 package org.parsleydrift.relay;
 
 import java.time.Duration;
+import org.parsleydrift.kernel.Cancellable;
 import org.parsleydrift.kernel.EventLoop;
-import org.parsleydrift.kernel.LoopTimer;
 
 /**
  * The wait of one request for a runner. For most of it the request is kept for the runner that holds its prompt; a runner
@@ -11,8 +11,8 @@
 final class QueueWait {
     private final EventLoop loop;
     private final Runnable lookAgain;
-    private LoopTimer heldTimer = () -> {};
-    private LoopTimer endTimer = () -> {};
+    private Cancellable heldTimer = () -> {};
+    private Cancellable endTimer = () -> {};
     private boolean nearlyOver;
 
     /** Makes a wait that has not begun; near its end it runs a task that places what can be placed. */
--- a/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnections.java
+++ b/parsleydrift-relay/src/main/java/org/parsleydrift/relay/RunnerConnections.java
@@ -42,7 +42,7 @@
     RunnerConnections(NetworkThreads threads, EventLoop loop, HeaderNames dialect) {
         this.loop = loop;
         this.dialect = dialect;
-        this.bootstrap = threads.connector(CONNECT_TIMEOUT);
+        this.bootstrap = threads.clientBootstrap(CONNECT_TIMEOUT);
     }
 
     /** Gives a connection on which nothing was sent for the next request; fails with StepException. */
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
@@ -147,7 +147,7 @@
         parts.loop.execute(() -> {
             mesh.tellNow();
             callers.drain();
-            parts.loop.every(DRAIN_CHECK, () -> drainStep(begun, ended));
+            parts.loop.scheduleWithFixedDelay(DRAIN_CHECK, () -> drainStep(begun, ended));
         });
         try {
             long most = (long) (parts.settings.grace().toMillis() * END_SHARE);
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeMesh.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/NodeMesh.java
@@ -119,7 +119,7 @@
     }
 
     void start() {
-        loop.every(STATUS_PERIOD, this::tellInTurn);
+        loop.scheduleWithFixedDelay(STATUS_PERIOD, this::tellInTurn);
     }
 
     /** A peer was named by the platform, or spoke. */
--- a/parsleydrift-standin/src/main/java/org/parsleydrift/standin/EngineServer.java
+++ b/parsleydrift-standin/src/main/java/org/parsleydrift/standin/EngineServer.java
@@ -5,8 +5,8 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
+import org.parsleydrift.kernel.Cancellable;
 import org.parsleydrift.kernel.EventLoop;
-import org.parsleydrift.kernel.LoopTimer;
 import org.parsleydrift.kernel.StepException;
 import org.parsleydrift.kernel.codec.JsonDocument;
 import org.parsleydrift.kernel.upstream.CallException;
@@ -36,7 +36,7 @@
         switch (exchange.method() + " " + exchange.path()) {
             case "POST /v1/turns" -> turn(exchange);
             case "DELETE /v1/memory" -> {
-                engine.release(exchange.query("owner", ""));
+                engine.release(exchange.queryParameter("owner", ""));
                 exchange.respond(200, JSON, "{}", Map.of());
             }
             case "GET /v1/memory" ->
@@ -60,7 +60,7 @@
                 exchange.beginStream(LINES);
             }
         };
-        LoopTimer stream = engine.turn(
+        Cancellable stream = engine.turn(
                 request,
                 body.path("skip").asInt(0),
                 text -> {
@@ -74,7 +74,7 @@
                 begin.run();
                 exchange.write(line(request, end(result)));
                 exchange.endStream();
-            } else if (StepException.unwrap(failure) instanceof CallException known && known.leaving()) {
+            } else if (StepException.unwrap(failure) instanceof CallException known && known.isLeaving()) {
                 exchange.respond(503, JSON, "{\"leaving\":true}", Map.of());
             } else {
                 exchange.abort();
--- a/parsleydrift-standin/src/main/java/org/parsleydrift/standin/InMemoryObjectStore.java
+++ b/parsleydrift-standin/src/main/java/org/parsleydrift/standin/InMemoryObjectStore.java
@@ -149,7 +149,7 @@
     }
 
     @Override
-    public CompletableFuture<List<VmEntry>> vms() {
+    public CompletableFuture<List<VmEntry>> listVms() {
         return call("vms", false, () -> vms);
     }
 
--- a/parsleydrift-standin/src/main/java/org/parsleydrift/standin/PlatformServer.java
+++ b/parsleydrift-standin/src/main/java/org/parsleydrift/standin/PlatformServer.java
@@ -41,14 +41,16 @@
                 case "GET /v1/list" ->
                     answer(
                             exchange,
-                            store.list(exchange.query("prefix", "")),
+                            store.list(exchange.queryParameter("prefix", "")),
                             rows -> json(rows.stream()
                                     .map(row -> Map.of("key", row.key(), "version", row.version()))
                                     .toList()));
                 case "GET /v1/watch" ->
                     answerObject(
-                            exchange, store.watch(key(exchange), Long.parseLong(exchange.query("after", "0"))), 204);
-                case "GET /v1/vms" -> answer(exchange, store.vms(), PlatformServer::json);
+                            exchange,
+                            store.watch(key(exchange), Long.parseLong(exchange.queryParameter("after", "0"))),
+                            204);
+                case "GET /v1/vms" -> answer(exchange, store.listVms(), PlatformServer::json);
                 case "GET /v1/counts" -> exchange.respond(200, JSON, json(store.counts()), Map.of());
                 case "POST /v1/vms" -> {
                     store.vms(JsonDocument.MAPPER.readValue(exchange.body(), new TypeReference<List<VmEntry>>() {}));
@@ -66,7 +68,7 @@
     }
 
     private void put(HttpExchange exchange) {
-        long version = Long.parseLong(exchange.query("version", "0"));
+        long version = Long.parseLong(exchange.queryParameter("version", "0"));
         CompletableFuture<Long> written = version == 0
                 ? store.create(key(exchange), exchange.bodyBytes())
                 : store.update(key(exchange), version, exchange.bodyBytes());
@@ -74,7 +76,7 @@
     }
 
     private static String key(HttpExchange exchange) {
-        return exchange.query("key", "");
+        return exchange.queryParameter("key", "");
     }
 
     private static void answerObject(
--- a/parsleydrift-standin/src/main/java/org/parsleydrift/standin/SharedObjectsServer.java
+++ b/parsleydrift-standin/src/main/java/org/parsleydrift/standin/SharedObjectsServer.java
@@ -76,12 +76,12 @@
     }
 
     private void read(HttpExchange exchange, ObjectKind kind) {
-        String after = exchange.query("watch_rev", "");
+        String after = exchange.queryParameter("watch_rev", "");
         if (after.isEmpty()) {
             answer(exchange, objects.list(kind), SharedObjectsServer::list);
             return;
         }
-        Duration wait = Duration.ofMillis(Long.parseLong(exchange.query("wait_ms", "0")));
+        Duration wait = Duration.ofMillis(Long.parseLong(exchange.queryParameter("wait_ms", "0")));
         objects.watch(kind, Long.parseLong(after), wait).whenComplete((changes, failure) -> {
             if (failure != null) {
                 exchange.respond(410, JSON, NOTHING, Map.of());
--- a/parsleydrift-standin/src/main/java/org/parsleydrift/standin/StandInEngine.java
+++ b/parsleydrift-standin/src/main/java/org/parsleydrift/standin/StandInEngine.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
+import org.parsleydrift.kernel.Cancellable;
 import org.parsleydrift.kernel.EventLoop;
-import org.parsleydrift.kernel.LoopTimer;
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.upstream.CallException;
 import org.parsleydrift.kernel.upstream.CallFailure;
@@ -103,7 +103,8 @@
      * @param done receives the result
      * @return ends the stream
      */
-    public LoopTimer turn(TurnRequest request, int skip, Consumer<String> tokens, CompletableFuture<TurnResult> done) {
+    public Cancellable turn(
+            TurnRequest request, int skip, Consumer<String> tokens, CompletableFuture<TurnResult> done) {
         if (dead) {
             done.completeExceptionally(new CallException(Step.TURN, name, CallFailure.NOT_RUN, false, "no connection"));
             return () -> {};
--- a/parsleydrift-standin/src/test/java/org/parsleydrift/registry/RegistryFollowingTest.java
+++ b/parsleydrift-standin/src/test/java/org/parsleydrift/registry/RegistryFollowingTest.java
@@ -73,7 +73,7 @@
                     }
                 });
         follower.start();
-        loop.every(AGE_PERIOD, () -> follower.checkIfStale(CHECK_AGE));
+        loop.scheduleWithFixedDelay(AGE_PERIOD, () -> follower.checkIfStale(CHECK_AGE));
     }
 
     private void runner(String id, String state) {
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/AnswerReader.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/AnswerReader.java
@@ -45,7 +45,7 @@
     }
 
     synchronized void take(byte[] bytes) {
-        lines.take(bytes);
+        lines.append(bytes);
     }
 
     private void takeLine(String read) {
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/CallerClient.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/CallerClient.java
@@ -13,8 +13,8 @@
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 import org.parsleydrift.kernel.codec.JsonDocument;
-import org.parsleydrift.wire.HttpAnswer;
 import org.parsleydrift.wire.HttpClient;
+import org.parsleydrift.wire.HttpClientResponse;
 import org.parsleydrift.wire.HttpRequestSpec;
 import org.parsleydrift.wire.NetworkThreads;
 
@@ -103,7 +103,8 @@
         for (int round = 0; round < ROUNDS; round++) {
             String address = entries.get(round % entries.size());
             try {
-                HttpAnswer answer = client.send(new HttpRequestSpec(address, method, target, bytes, SILENCE, false))
+                HttpClientResponse answer = client.send(
+                                new HttpRequestSpec(address, method, target, bytes, SILENCE, false))
                         .join();
                 return read(address, answer);
             } catch (CompletionException failure) {
@@ -141,10 +142,10 @@
             HttpRequestSpec request = HttpRequestSpec.of(
                     address, "GET", "/v1/programs/" + program + "/answer?offset=" + reader.offset(), STREAM_SILENCE);
             reader.newConnection();
-            CompletableFuture<HttpAnswer> closed =
-                    client.stream(request, reader::take).answer();
+            CompletableFuture<HttpClientResponse> closed =
+                    client.stream(request, reader::take).response();
             try {
-                HttpAnswer answer = closed.join();
+                HttpClientResponse answer = closed.join();
                 if (answer.status() >= 300) {
                     read(address, answer);
                 }
@@ -172,7 +173,7 @@
         threads.close();
     }
 
-    private static JsonNode read(String address, HttpAnswer answer) {
+    private static JsonNode read(String address, HttpClientResponse answer) {
         JsonNode body;
         try {
             body = JsonDocument.MAPPER.readTree(answer.text().isBlank() ? "{}" : answer.text());
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/Parsleydrift.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/Parsleydrift.java
@@ -15,7 +15,7 @@
 import joptsimple.OptionSpec;
 import org.parsleydrift.kernel.LogLine;
 import org.parsleydrift.kernel.StepException;
-import org.parsleydrift.kernel.codec.JsonFaultsException;
+import org.parsleydrift.kernel.codec.InvalidJsonException;
 import org.parsleydrift.manifest.ManifestParser;
 
 /** The command line for callers and operators (docs/OPERATIONS.md, "Command line"). */
@@ -111,8 +111,8 @@
         } catch (IndexOutOfBoundsException missing) {
             err.println("parsleydrift: the command lacks an argument; see --help");
             return ExitCode.USAGE;
-        } catch (JsonFaultsException faults) {
-            faults.faults().forEach(fault -> err.println(faults.peer() + ":" + fault));
+        } catch (InvalidJsonException faults) {
+            faults.errors().forEach(fault -> err.println(faults.peer() + ":" + fault));
             return ExitCode.REFUSED;
         } catch (CallerException refusal) {
             err.println(LogLine.of("refused").failure(refusal));
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/FrameLinks.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/FrameLinks.java
@@ -57,7 +57,7 @@
      * @param receiver receives each frame on a network thread; one that throws closes the connection
      */
     public FrameLinks(NetworkThreads threads, String host, int port, Consumer<byte[]> receiver) {
-        listener = threads.listener()
+        listener = threads.serverBootstrap()
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -70,7 +70,7 @@
                 .bind(host, port)
                 .syncUninterruptibly()
                 .channel();
-        outbound = threads.connector(CONNECT_TIMEOUT).handler(new ChannelInitializer<>() {
+        outbound = threads.clientBootstrap(CONNECT_TIMEOUT).handler(new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
                 channel.pipeline()
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpCall.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpCall.java
@@ -5,7 +5,7 @@
 /**
  * A request under way.
  *
- * @param answer the whole answer; its body is empty if the pieces went to a receiver
+ * @param response the whole answer; its body is empty if the pieces went to a receiver
  * @param cancel closes the connection
  */
-public record HttpCall(CompletableFuture<HttpAnswer> answer, Runnable cancel) {}
+public record HttpCall(CompletableFuture<HttpClientResponse> response, Runnable cancel) {}
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpClient.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpClient.java
@@ -47,7 +47,7 @@
      * @param threads the network threads
      */
     public HttpClient(NetworkThreads threads) {
-        bootstrap = threads.connector(CONNECT_TIMEOUT).handler(new ChannelInitializer<>() {
+        bootstrap = threads.clientBootstrap(CONNECT_TIMEOUT).handler(new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
                 channel.pipeline().addLast(new HttpClientCodec());
@@ -59,10 +59,10 @@
      * Makes a request and collects the answer.
      *
      * @param request the request
-     * @return the answer; fails with {@link HttpFailure}
+     * @return the answer; fails with {@link HttpException}
      */
-    public CompletableFuture<HttpAnswer> send(HttpRequestSpec request) {
-        return open(request, null).answer();
+    public CompletableFuture<HttpClientResponse> send(HttpRequestSpec request) {
+        return open(request, null).response();
     }
 
     /**
@@ -78,7 +78,7 @@
 
     private HttpCall open(HttpRequestSpec request, Consumer<byte[]> pieces) {
         Attempt attempt = new Attempt(request, pieces);
-        Channel channel = request.reuse() ? takeKept(request.address()) : null;
+        Channel channel = request.reuseConnection() ? takeKept(request.address()) : null;
         if (channel != null) {
             attempt.start(channel);
         } else {
@@ -113,7 +113,7 @@
     private final class Attempt {
         private final HttpRequestSpec request;
         private final Consumer<byte[]> pieces;
-        private final CompletableFuture<HttpAnswer> answer = new CompletableFuture<>();
+        private final CompletableFuture<HttpClientResponse> answer = new CompletableFuture<>();
         private volatile Channel channel;
         private volatile boolean cancelled;
 
@@ -170,7 +170,7 @@
         }
 
         private void fail(boolean sent, String reason) {
-            answer.completeExceptionally(new HttpFailure(request.address(), sent, reason));
+            answer.completeExceptionally(new HttpException(request.address(), sent, reason));
         }
     }
 
@@ -189,7 +189,7 @@
 
         @Override
         public void handlerAdded(ChannelHandlerContext context) {
-            Duration silence = attempt.request.silence();
+            Duration silence = attempt.request.idleTimeout();
             lastByteNanos = context.executor().ticker().nanoTime();
             long period = Math.max(1, silence.toMillis() / 4);
             watchdog = context.executor()
@@ -247,12 +247,12 @@
 
         private void finish(ChannelHandlerContext context) {
             context.pipeline().remove(this);
-            if (keepAlive && attempt.request.reuse()) {
+            if (keepAlive && attempt.request.reuseConnection()) {
                 keep(attempt.request.address(), context.channel());
             } else {
                 context.close();
             }
-            attempt.answer.complete(new HttpAnswer(status, Map.copyOf(headers), body.toByteArray()));
+            attempt.answer.complete(new HttpClientResponse(status, Map.copyOf(headers), body.toByteArray()));
         }
 
         @Override
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpAnswer.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpClientResponse.java
@@ -10,7 +10,7 @@
  * @param headers its headers, names in lower case
  * @param body the body
  */
-public record HttpAnswer(int status, Map<String, String> headers, byte[] body) {
+public record HttpClientResponse(int status, Map<String, String> headers, byte[] body) {
     /**
      * The body as text.
      *
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpFailure.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpException.java
@@ -4,10 +4,10 @@
 import org.parsleydrift.kernel.StepException;
 
 /** An HTTP request that got no whole answer. */
-public final class HttpFailure extends StepException {
+public final class HttpException extends StepException {
     private final boolean sent;
 
-    HttpFailure(String peer, boolean sent, String message) {
+    HttpException(String peer, boolean sent, String message) {
         super(Step.CALL, peer, message);
         this.sent = sent;
     }
@@ -17,7 +17,7 @@
      *
      * @return false only if no connection was made
      */
-    public boolean sent() {
+    public boolean isPossiblySent() {
         return sent;
     }
 }
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpExchange.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpExchange.java
@@ -67,7 +67,7 @@
      * @param fallback what to give if it is absent
      * @return its first value
      */
-    public String query(String name, String fallback) {
+    public String queryParameter(String name, String fallback) {
         Map<String, List<String>> parameters = target.parameters();
         return parameters.containsKey(name) ? parameters.get(name).getFirst() : fallback;
     }
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpRequestSpec.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpRequestSpec.java
@@ -9,12 +9,12 @@
  * @param method GET, POST and so on
  * @param target path and query
  * @param body the body; empty for none
- * @param silence fails when no byte comes for this long
- * @param reuse whether a kept connection may serve; no for calls that must not be sent twice, since a kept connection
+ * @param idleTimeout fails when no byte comes for this long
+ * @param reuseConnection whether a kept connection may serve; no for calls that must not be sent twice, since a kept connection
  *     that the other side has just closed leaves it unknown whether the call arrived
  */
 public record HttpRequestSpec(
-        String address, String method, String target, byte[] body, Duration silence, boolean reuse) {
+        String address, String method, String target, byte[] body, Duration idleTimeout, boolean reuseConnection) {
     private static final byte[] NOTHING = {};
 
     /**
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpServer.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpServer.java
@@ -38,7 +38,7 @@
     public HttpServer(NetworkThreads threads, String host, int port, int maxConnections, HttpHandler handler) {
         this.handler = handler;
         this.maxConnections = maxConnections;
-        this.listener = threads.listener()
+        this.listener = threads.serverBootstrap()
                 .childHandler(new Initializer())
                 .bind(host, port)
                 .syncUninterruptibly()
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/LineSplitter.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/LineSplitter.java
@@ -28,7 +28,7 @@
      *
      * @param bytes UTF-8 text, cut anywhere
      */
-    public void take(byte[] bytes) {
+    public void append(byte[] bytes) {
         for (byte each : bytes) {
             if (each == '\n') {
                 String line = begun.toString(StandardCharsets.UTF_8);
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/NetworkLoop.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/NetworkLoop.java
@@ -3,9 +3,9 @@
 import java.lang.System.Logger;
 import java.time.Duration;
 import java.util.concurrent.TimeUnit;
+import org.parsleydrift.kernel.Cancellable;
 import org.parsleydrift.kernel.EventLoop;
 import org.parsleydrift.kernel.LogLine;
-import org.parsleydrift.kernel.LoopTimer;
 import org.parsleydrift.kernel.RuntimeClock;
 
 /**
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public LoopTimer schedule(Duration delay, Runnable task) {
+    public Cancellable schedule(Duration delay, Runnable task) {
         var timer = loop.schedule(() -> runSafely(task), delay.toNanos(), TimeUnit.NANOSECONDS);
         return () -> timer.cancel(false);
     }
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/NetworkThreads.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/NetworkThreads.java
@@ -50,7 +50,7 @@
      *
      * @return a new bootstrap on these threads
      */
-    public ServerBootstrap listener() {
+    public ServerBootstrap serverBootstrap() {
         return new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
@@ -65,7 +65,7 @@
      * @param timeout how long the other side may take to accept
      * @return a new bootstrap on these threads
      */
-    public Bootstrap connector(Duration timeout) {
+    public Bootstrap clientBootstrap(Duration timeout) {
         return new Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel.class)
--- a/parsleydrift-wire/src/test/java/org/parsleydrift/wire/BadInputTest.java
+++ b/parsleydrift-wire/src/test/java/org/parsleydrift/wire/BadInputTest.java
@@ -49,7 +49,7 @@
     public void malformedAndOversizeRequestsDisturbNobody() throws IOException {
         assertTrue(raw("nonsense\r\n\r\n").startsWith("HTTP/1.1 400"));
         assertTrue(raw("POST / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n").startsWith("HTTP/1.1 413"));
-        HttpAnswer answer = client.send(HttpRequestSpec.of(address, "GET", "/", Duration.ofSeconds(5)))
+        HttpClientResponse answer = client.send(HttpRequestSpec.of(address, "GET", "/", Duration.ofSeconds(5)))
                 .join();
         assertEquals(answer.text(), "good");
     }
@@ -60,7 +60,7 @@
         HttpRequestSpec silent = HttpRequestSpec.of(address, "GET", "/silent", Duration.ofMillis(200));
         CompletionException failure = expectThrows(
                 CompletionException.class, () -> client.send(silent).join());
-        assertTrue(((HttpFailure) failure.getCause()).sent());
+        assertTrue(((HttpException) failure.getCause()).isPossiblySent());
         assertEquals(
                 client.send(HttpRequestSpec.of(address, "GET", "/", Duration.ofSeconds(5)))
                         .join()
@@ -74,7 +74,7 @@
         HttpRequestSpec nobody = HttpRequestSpec.of("127.0.0.1:1", "GET", "/", Duration.ofSeconds(2));
         CompletionException failure = expectThrows(
                 CompletionException.class, () -> client.send(nobody).join());
-        assertFalse(((HttpFailure) failure.getCause()).sent());
+        assertFalse(((HttpException) failure.getCause()).isPossiblySent());
     }
 
     /** Symptom: a peer's bad frame takes a node down. Events: bytes that are no MessagePack, a frame over the limit. Cause: unguarded decoding. */
