--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SlopesMain.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SlopesMain.java
@@ -95,7 +95,7 @@
             long now = (fleet.scheduler().nanos() - killedNanos) / 1_000_000;
             open.removeIf(caller -> {
                 boolean goesOn =
-                        fleet.live().stream().anyMatch(node -> node.node().running(caller.id()));
+                        fleet.live().stream().anyMatch(node -> node.node().isRunning(caller.id()));
                 if (goesOn) {
                     millis.add(now);
                 }
--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/Node.java
@@ -230,7 +230,7 @@
      * @param id the program
      * @return true if it does
      */
-    public boolean running(ProgramId id) {
+    public boolean isRunning(ProgramId id) {
         return incarnation.host().running(id);
     }
 
