--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/CallerApi.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/CallerApi.java
@@ -43,11 +43,11 @@
             try {
                 route(exchange);
             } catch (JsonProcessingException fault) {
-                Answers.refuse(exchange, badRequest("body is not JSON: " + fault.getOriginalMessage()));
+                HttpReplyWriter.refuse(exchange, badRequest("body is not JSON: " + fault.getOriginalMessage()));
             } catch (StepException fault) {
-                Answers.refuse(exchange, badRequest(fault.getMessage()));
+                HttpReplyWriter.refuse(exchange, badRequest(fault.getMessage()));
             } catch (NumberFormatException fault) {
-                Answers.refuse(exchange, badRequest("not a number: " + fault.getMessage()));
+                HttpReplyWriter.refuse(exchange, badRequest("not a number: " + fault.getMessage()));
             }
         });
     }
@@ -59,8 +59,8 @@
             case "GET /ready" ->
                 exchange.respond(node.isReady() ? 200 : 503, JSON, "{\"ready\":" + node.isReady() + "}\n", Map.of());
             case "GET /metrics" -> exchange.respond(200, "text/plain; version=0.0.4", meters.scrape(), Map.of());
-            case "GET /v1/status" -> exchange.respond(200, JSON, Answers.json(node.status()), Map.of());
-            case "GET /v1/entry" -> entry(exchange);
+            case "GET /v1/status" -> exchange.respond(200, JSON, HttpReplyWriter.toJson(node.status()), Map.of());
+            case "GET /v1/entry" -> assignEntryNode(exchange);
             case "GET /v1/manifest" -> showManifest(exchange);
             case "PUT /v1/manifest" -> submitManifest(exchange);
             case "POST /v1/programs" -> start(exchange);
@@ -85,7 +85,7 @@
             case "GET" -> single(exchange, new CallerRequest.Explain(id));
             case "DELETE" -> single(exchange, new CallerRequest.Cancel(id));
             case "GET answer" ->
-                Answers.stream(
+                HttpReplyWriter.stream(
                         exchange,
                         loop,
                         sink -> node.open(
@@ -93,7 +93,7 @@
                                 sink));
             case "POST messages" -> {
                 JsonNode body = JsonDocument.MAPPER.readTree(exchange.body());
-                single(exchange, new CallerRequest.Send(id, text(body, "key"), text(body, "text")));
+                single(exchange, new CallerRequest.Send(id, requireText(body, "key"), requireText(body, "text")));
             }
             default ->
                 exchange.respond(404, JSON, "{\"error\":\"bad_request\",\"message\":\"no such path\"}\n", Map.of());
@@ -102,7 +102,13 @@
 
     private void start(HttpExchange exchange) throws JsonProcessingException {
         JsonNode body = JsonDocument.MAPPER.readTree(exchange.body());
-        single(exchange, new CallerRequest.Start(id(body), text(body, "agent"), text(body, "prompt"), first(body)));
+        single(
+                exchange,
+                new CallerRequest.Start(
+                        programId(body),
+                        requireText(body, "agent"),
+                        requireText(body, "prompt"),
+                        isFirstAttempt(body)));
     }
 
     private void callService(HttpExchange exchange, String service) throws JsonProcessingException {
@@ -110,29 +116,30 @@
         OperationSpec spec = node.manifest().manifest().services().get(service);
         if (spec != null && spec.repeatable()) {
             node.callRepeatable(service, body.path("body").toString())
-                    .thenAccept(end -> Answers.single(exchange, new CallerReply.Answer(end.outcome(), end.answer())));
+                    .thenAccept(end ->
+                            HttpReplyWriter.writeFinal(exchange, new CallerReply.Answer(end.outcome(), end.answer())));
             return;
         }
         single(
                 exchange,
                 new CallerRequest.CallService(
-                        id(body), service, body.path("body").toString(), first(body)));
+                        programId(body), service, body.path("body").toString(), isFirstAttempt(body)));
     }
 
     private void single(HttpExchange exchange, CallerRequest request) {
         Runnable cancel = node.open(request, reply -> {
             if (reply.last()) {
-                Answers.single(exchange, reply);
+                HttpReplyWriter.writeFinal(exchange, reply);
             }
         });
         exchange.onClose(() -> loop.execute(cancel));
     }
 
-    private void entry(HttpExchange exchange) {
+    private void assignEntryNode(HttpExchange exchange) {
         node.assignEntryNode(exchange.queryParameter("team", "any"))
                 .ifPresentOrElse(
-                        advice -> exchange.respond(200, JSON, Answers.json(advice), Map.of()),
-                        () -> Answers.refuse(
+                        assignment -> exchange.respond(200, JSON, HttpReplyWriter.toJson(assignment), Map.of()),
+                        () -> HttpReplyWriter.refuse(
                                 exchange,
                                 new CallerReply.Refused(RefusalKind.NOT_RUN, Step.ADMIT, "self", "not ready", 1000)));
     }
@@ -141,7 +148,7 @@
         if (node.manifest().version() == null) {
             exchange.respond(404, JSON, "{\"error\":\"none\",\"message\":\"no manifest is in force\"}\n", Map.of());
         } else {
-            exchange.respond(200, JSON, Answers.json(node.manifest().version()), Map.of());
+            exchange.respond(200, JSON, HttpReplyWriter.toJson(node.manifest().version()), Map.of());
         }
     }
 
@@ -154,14 +161,14 @@
             }
             Throwable cause = StepException.unwrap(failure);
             int status = cause instanceof StoreException ? 503 : 409;
-            exchange.respond(status, JSON, Answers.json(manifestError(cause)), Map.of());
+            exchange.respond(status, JSON, HttpReplyWriter.toJson(manifestError(cause)), Map.of());
         });
     }
 
     private static Map<String, Object> manifestError(Throwable cause) {
         Map<String, Object> error = new LinkedHashMap<>();
-        boolean lost = cause instanceof StoreException;
-        error.put("error", lost ? "outcome_unknown" : "not_run");
+        boolean outcomeUnknown = cause instanceof StoreException;
+        error.put("error", outcomeUnknown ? "outcome_unknown" : "not_run");
         if (cause instanceof StepException known) {
             error.put("step", known.step());
             error.put("peer", known.peer());
@@ -174,15 +181,16 @@
     }
 
     /** Whether the caller says that it never made this request before; a repeat must leave that out. */
-    private static boolean first(JsonNode body) {
+    private static boolean isFirstAttempt(JsonNode body) {
         return body.path("first").asBoolean(false);
     }
 
-    private static ProgramId id(JsonNode body) {
-        return ProgramId.parse(text(body, "ticket") + "~" + text(body, "team") + "~" + text(body, "key"));
+    private static ProgramId programId(JsonNode body) {
+        return ProgramId.parse(
+                requireText(body, "ticket") + "~" + requireText(body, "team") + "~" + requireText(body, "key"));
     }
 
-    private static String text(JsonNode body, String field) {
+    private static String requireText(JsonNode body, String field) {
         JsonNode value = body.path(field);
         if (!value.isTextual()) {
             throw new StepException(Step.PARSE, "caller", "field " + field + " must be a text");
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpCallClient.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpCallClient.java
@@ -36,7 +36,7 @@
         return client.send(new HttpRequestSpec(upstream, "POST", "/v1/calls", body, timeout, false))
                 .handle((answer, failure) -> {
                     if (failure == null) {
-                        return good(upstream, answer);
+                        return requireSuccess(upstream, answer);
                     }
                     boolean sent =
                             !(StepException.unwrap(failure) instanceof HttpException known) || known.isPossiblySent();
@@ -49,7 +49,7 @@
                 });
     }
 
-    private static String good(String upstream, HttpClientResponse answer) {
+    private static String requireSuccess(String upstream, HttpClientResponse answer) {
         if (answer.status() == 200) {
             return answer.text();
         }
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpEngineClient.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpEngineClient.java
@@ -30,9 +30,9 @@
 
 /** Model engines over HTTP: a turn is a stream of JSON lines, each naming its stream; the last one ends it. */
 final class HttpEngineClient implements EngineClient {
-    private static final Duration SILENCE = Duration.ofSeconds(4);
-    private static final Duration SHORT = Duration.ofSeconds(2);
-    private static final int RESUMES = 2;
+    private static final Duration STREAM_IDLE_TIMEOUT = Duration.ofSeconds(4);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
+    private static final int MAX_RESUMES = 2;
 
     private final HttpClient client;
 
@@ -51,12 +51,13 @@
     @Override
     public CompletableFuture<Void> release(String runner, String owner) {
         String target = "/v1/memory?owner=" + URLEncoder.encode(owner, StandardCharsets.UTF_8);
-        return client.send(HttpRequestSpec.of(runner, "DELETE", target, SHORT)).thenAccept(answer -> {});
+        return client.send(HttpRequestSpec.of(runner, "DELETE", target, REQUEST_TIMEOUT))
+                .thenAccept(answer -> {});
     }
 
     @Override
     public CompletableFuture<List<EngineMemory>> listMemory(String runner) {
-        return client.send(HttpRequestSpec.of(runner, "GET", "/v1/memory", SHORT))
+        return client.send(HttpRequestSpec.of(runner, "GET", "/v1/memory", REQUEST_TIMEOUT))
                 .thenApply(answer -> {
                     try {
                         return JsonDocument.MAPPER.readValue(answer.text(), new TypeReference<List<EngineMemory>>() {});
@@ -73,7 +74,7 @@
         private final Consumer<String> tokens;
         private final CompletableFuture<TurnResult> done;
         private final StringBuilder text = new StringBuilder();
-        private final LineSplitter lines = new LineSplitter(this::takeLine);
+        private final LineSplitter lines = new LineSplitter(this::handleLine);
         private HttpCall call;
         private int resumes;
         private boolean cancelled;
@@ -93,8 +94,10 @@
             ObjectNode body = JsonDocument.MAPPER.valueToTree(request);
             body.put("skip", text.length());
             byte[] bytes = body.toString().getBytes(StandardCharsets.UTF_8);
-            call = client.stream(new HttpRequestSpec(runner, "POST", "/v1/turns", bytes, SILENCE, true), this::take);
-            call.response().whenComplete(this::closed);
+            call = client.stream(
+                    new HttpRequestSpec(runner, "POST", "/v1/turns", bytes, STREAM_IDLE_TIMEOUT, true),
+                    this::handleBytes);
+            call.response().whenComplete(this::onClosed);
         }
 
         private synchronized void cancel() {
@@ -102,11 +105,11 @@
             call.cancel().run();
         }
 
-        private synchronized void take(byte[] bytes) {
+        private synchronized void handleBytes(byte[] bytes) {
             lines.append(bytes);
         }
 
-        private void takeLine(String json) {
+        private void handleLine(String json) {
             if (done.isDone()) {
                 return;
             }
@@ -144,7 +147,7 @@
                     node.path("output_tokens").asInt()));
         }
 
-        private synchronized void closed(HttpClientResponse answer, Throwable failure) {
+        private synchronized void onClosed(HttpClientResponse answer, Throwable failure) {
             if (done.isDone() || cancelled) {
                 return;
             }
@@ -154,7 +157,7 @@
                 return;
             }
             boolean sent = !(StepException.unwrap(failure) instanceof HttpException known) || known.isPossiblySent();
-            if (sent && resumes < RESUMES) {
+            if (sent && resumes < MAX_RESUMES) {
                 // The connection was cut or fell silent; the engine goes on with the stream from where we are.
                 resumes++;
                 open();
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpOutsidePlugin.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpExternalSystemPlugin.java
@@ -8,7 +8,7 @@
 import org.parsleydrift.wire.HttpClient;
 
 /** Meets platform, engines, tools and services over HTTP (docs/design/standins.md). */
-public final class HttpOutsidePlugin implements ExternalSystemPlugin {
+public final class HttpExternalSystemPlugin implements ExternalSystemPlugin {
     @Override
     public String name() {
         return "http";
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpObjectStore.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpObjectStore.java
@@ -22,9 +22,9 @@
 
 /** The platform's object API over HTTP. */
 final class HttpObjectStore implements ObjectStore {
-    private static final Duration SILENCE = Duration.ofSeconds(5);
-    private static final Duration WATCH_SILENCE = Duration.ofSeconds(25);
-    private static final String VERSION = "x-version";
+    private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(5);
+    private static final Duration WATCH_IDLE_TIMEOUT = Duration.ofSeconds(25);
+    private static final String VERSION_HEADER = "x-version";
 
     private final HttpClient client;
     private final String address;
@@ -36,31 +36,33 @@
 
     @Override
     public CompletableFuture<Optional<StoredObject>> read(String key) {
-        return send("GET", object(key), new byte[0], SILENCE, key).thenApply(answer -> found(key, answer));
+        return send("GET", object(key), new byte[0], IDLE_TIMEOUT, key)
+                .thenApply(answer -> toStoredObject(key, answer));
     }
 
     @Override
     public CompletableFuture<Long> create(String key, byte[] value) {
-        return send("PUT", object(key), value, SILENCE, key).thenApply(answer -> version(key, answer));
+        return send("PUT", object(key), value, IDLE_TIMEOUT, key).thenApply(answer -> version(key, answer));
     }
 
     @Override
     public CompletableFuture<Long> update(String key, long version, byte[] value) {
-        return send("PUT", object(key) + "&version=" + version, value, SILENCE, key)
+        return send("PUT", object(key) + "&version=" + version, value, IDLE_TIMEOUT, key)
                 .thenApply(answer -> version(key, answer));
     }
 
     @Override
     public CompletableFuture<Void> delete(String key) {
-        return send("DELETE", object(key), new byte[0], SILENCE, key).thenAccept(answer -> good(key, answer));
+        return send("DELETE", object(key), new byte[0], IDLE_TIMEOUT, key)
+                .thenAccept(answer -> requireSuccess(key, answer));
     }
 
     @Override
     public CompletableFuture<List<StoredObject>> list(String prefix) {
-        return send("GET", "/v1/list?prefix=" + encoded(prefix), new byte[0], SILENCE, prefix)
+        return send("GET", "/v1/list?prefix=" + urlEncode(prefix), new byte[0], IDLE_TIMEOUT, prefix)
                 .thenApply(answer -> {
                     List<StoredObject> rows = new ArrayList<>();
-                    json(prefix, good(prefix, answer))
+                    json(prefix, requireSuccess(prefix, answer))
                             .forEach(row -> rows.add(new StoredObject(
                                     row.path("key").asText(),
                                     row.path("version").asLong(),
@@ -71,15 +73,17 @@
 
     @Override
     public CompletableFuture<Optional<StoredObject>> watch(String key, long afterVersion) {
-        String target = "/v1/watch?key=" + encoded(key) + "&after=" + afterVersion;
-        return send("GET", target, new byte[0], WATCH_SILENCE, key).thenApply(answer -> found(key, answer));
+        String target = "/v1/watch?key=" + urlEncode(key) + "&after=" + afterVersion;
+        return send("GET", target, new byte[0], WATCH_IDLE_TIMEOUT, key)
+                .thenApply(answer -> toStoredObject(key, answer));
     }
 
     @Override
     public CompletableFuture<List<VmEntry>> listVms() {
-        return send("GET", "/v1/vms", new byte[0], SILENCE, "vms").thenApply(answer -> {
+        return send("GET", "/v1/vms", new byte[0], IDLE_TIMEOUT, "vms").thenApply(answer -> {
             try {
-                return JsonDocument.MAPPER.readValue(good("vms", answer).body(), new TypeReference<List<VmEntry>>() {});
+                return JsonDocument.MAPPER.readValue(
+                        requireSuccess("vms", answer).body(), new TypeReference<List<VmEntry>>() {});
             } catch (java.io.IOException fault) {
                 throw new StoreException(StoreFailure.UNKNOWN, "vms");
             }
@@ -87,26 +91,26 @@
     }
 
     private CompletableFuture<HttpClientResponse> send(
-            String method, String target, byte[] body, Duration silence, String key) {
-        return client.send(new HttpRequestSpec(address, method, target, body, silence, true))
+            String method, String target, byte[] body, Duration idleTimeout, String key) {
+        return client.send(new HttpRequestSpec(address, method, target, body, idleTimeout, true))
                 .exceptionally(failure -> {
                     throw new StoreException(StoreFailure.UNKNOWN, key);
                 });
     }
 
-    private static Optional<StoredObject> found(String key, HttpClientResponse answer) {
+    private static Optional<StoredObject> toStoredObject(String key, HttpClientResponse answer) {
         if (answer.status() == 404 || answer.status() == 204) {
             return Optional.empty();
         }
-        long version = Long.parseLong(good(key, answer).headers().getOrDefault(VERSION, "0"));
+        long version = Long.parseLong(requireSuccess(key, answer).headers().getOrDefault(VERSION_HEADER, "0"));
         return Optional.of(new StoredObject(key, version, answer.body()));
     }
 
     private static long version(String key, HttpClientResponse answer) {
-        return json(key, good(key, answer)).path("version").asLong();
+        return json(key, requireSuccess(key, answer)).path("version").asLong();
     }
 
-    private static HttpClientResponse good(String key, HttpClientResponse answer) {
+    private static HttpClientResponse requireSuccess(String key, HttpClientResponse answer) {
         return switch (answer.status()) {
             case 200, 201 -> answer;
             case 409 -> throw new StoreException(StoreFailure.CONFLICT, key);
@@ -125,10 +129,10 @@
     }
 
     private static String object(String key) {
-        return "/v1/objects?key=" + encoded(key);
+        return "/v1/objects?key=" + urlEncode(key);
     }
 
-    private static String encoded(String text) {
+    private static String urlEncode(String text) {
         return URLEncoder.encode(text, StandardCharsets.UTF_8);
     }
 }
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/Answers.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpReplyWriter.java
@@ -13,13 +13,13 @@
 import org.parsleydrift.wire.HttpExchange;
 
 /** Replies as HTTP: JSON, or server-sent events for an answer as it comes. */
-final class Answers {
+final class HttpReplyWriter {
     private static final String JSON = "application/json";
     private static final long MILLIS_PER_SECOND = 1000;
 
-    private Answers() {}
+    private HttpReplyWriter() {}
 
-    static String json(Object value) {
+    static String toJson(Object value) {
         try {
             return JsonDocument.MAPPER.writeValueAsString(value) + "\n";
         } catch (JsonProcessingException impossible) {
@@ -28,13 +28,13 @@
     }
 
     /** Answers with the final reply to a request. */
-    static void single(HttpExchange exchange, CallerReply reply) {
+    static void writeFinal(HttpExchange exchange, CallerReply reply) {
         switch (reply) {
             case CallerReply.Accepted accepted ->
                 exchange.respond(
                         202,
                         JSON,
-                        json(Map.of(
+                        toJson(Map.of(
                                 "program", accepted.id().toString(),
                                 "generation", accepted.generation())),
                         Map.of());
@@ -42,12 +42,12 @@
                 exchange.respond(
                         status(answer.outcome()),
                         JSON,
-                        json(Map.of(
+                        toJson(Map.of(
                                 "outcome", answer.outcome().name().toLowerCase(Locale.ROOT), "body", answer.body())),
                         Map.of());
-            case CallerReply.Explained explained -> exchange.respond(200, JSON, json(explained.facts()), Map.of());
+            case CallerReply.Explained explained -> exchange.respond(200, JSON, toJson(explained.facts()), Map.of());
             case CallerReply.Refused refused -> refuse(exchange, refused);
-            case CallerReply.Ended ended -> exchange.respond(200, JSON, json(end(ended)), Map.of());
+            case CallerReply.Ended ended -> exchange.respond(200, JSON, toJson(end(ended)), Map.of());
             case CallerReply.Output ignored -> exchange.abort();
             case CallerReply.Rewind ignored -> exchange.abort();
             case CallerReply.Moved ignored -> exchange.abort();
@@ -62,7 +62,7 @@
                         "Retry-After",
                         Long.toString((refused.retryAfterMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND))
                 : Map.of();
-        exchange.respond(status(refused), JSON, json(error(refused)), headers);
+        exchange.respond(status(refused), JSON, toJson(error(refused)), headers);
     }
 
     /** Streams an answer: events output, rewind, end and error; a stream without end or error is cut. */
@@ -101,7 +101,7 @@
     }
 
     private static String event(String name, Object data) {
-        return "event: " + name + "\ndata: " + json(data) + "\n";
+        return "event: " + name + "\ndata: " + toJson(data) + "\n";
     }
 
     private static Map<String, Object> end(CallerReply.Ended ended) {
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/MeteredObjectStore.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/MeteredObjectStore.java
@@ -31,42 +31,41 @@
 
     @Override
     public CompletableFuture<Optional<StoredObject>> read(String key) {
-        return counted(reads, store.read(key));
+        return count(reads, store.read(key));
     }
 
     @Override
     public CompletableFuture<Long> create(String key, byte[] value) {
-        return counted(writes, store.create(key, value));
+        return count(writes, store.create(key, value));
     }
 
     @Override
     public CompletableFuture<Long> update(String key, long version, byte[] value) {
-        return counted(writes, store.update(key, version, value));
+        return count(writes, store.update(key, version, value));
     }
 
     @Override
     public CompletableFuture<Void> delete(String key) {
-        return counted(writes, store.delete(key));
+        return count(writes, store.delete(key));
     }
 
     @Override
     public CompletableFuture<List<StoredObject>> list(String prefix) {
-        return counted(reads, store.list(prefix));
+        return count(reads, store.list(prefix));
     }
 
     @Override
     public CompletableFuture<Optional<StoredObject>> watch(String key, long afterVersion) {
         waiting.incrementAndGet();
-        return counted(reads, store.watch(key, afterVersion))
-                .whenComplete((found, failure) -> waiting.decrementAndGet());
+        return count(reads, store.watch(key, afterVersion)).whenComplete((found, failure) -> waiting.decrementAndGet());
     }
 
     @Override
     public CompletableFuture<List<VmEntry>> listVms() {
-        return counted(reads, store.listVms());
+        return count(reads, store.listVms());
     }
 
-    private <T> CompletableFuture<T> counted(Counter counter, CompletableFuture<T> answer) {
+    private <T> CompletableFuture<T> count(Counter counter, CompletableFuture<T> answer) {
         counter.increment();
         return answer.whenComplete((value, failure) -> {
             if (failure != null) {
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/ParsleydriftDaemon.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/ParsleydriftDaemon.java
@@ -25,7 +25,7 @@
 /** The daemon: one on every entry VM. SIGTERM drains it. */
 public final class ParsleydriftDaemon implements AutoCloseable {
     private static final Logger LOG = System.getLogger(ParsleydriftDaemon.class.getName());
-    private static final int USAGE = 2;
+    private static final int USAGE_EXIT_CODE = 2;
     private static final int DRAIN_WAIT_FACTOR = 4;
 
     private final DisruptorEventLoop loop;
@@ -45,9 +45,9 @@
         this.loop = new DisruptorEventLoop("node", new SystemClock());
         this.threads = new NetworkThreads("net", settings.networkThreads());
         PrometheusMeterRegistry meters = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-        AtomicReference<Node> made = new AtomicReference<>();
+        AtomicReference<Node> nodeReference = new AtomicReference<>();
         this.links = new MessagePackLinks(threads, host(settings.link()), port(settings.link()), loop, envelope -> {
-            Node receiver = made.get();
+            Node receiver = nodeReference.get();
             if (receiver != null) {
                 receiver.receive(envelope);
             }
@@ -63,15 +63,15 @@
                 links,
                 new java.security.SecureRandom(),
                 meters);
-        CountDownLatch begun = new CountDownLatch(1);
+        CountDownLatch nodeCreated = new CountDownLatch(1);
         loop.execute(() -> {
-            Node first = new Node(environment, this.settings);
-            first.setSeedPeers(settings.peers());
-            made.set(first);
-            begun.countDown();
+            Node created = new Node(environment, this.settings);
+            created.setSeedPeers(settings.peers());
+            nodeReference.set(created);
+            nodeCreated.countDown();
         });
-        await(begun);
-        this.node = made.get();
+        await(nodeCreated);
+        this.node = nodeReference.get();
         this.server = new HttpServer(
                 threads,
                 host(settings.http()),
@@ -96,7 +96,7 @@
     public static void main(String[] arguments) {
         if (arguments.length != 1 || arguments[0].startsWith("-")) {
             System.err.println("usage: parsleydriftd SETTINGS.json");
-            System.exit(arguments.length == 1 && "--help".equals(arguments[0]) ? 0 : USAGE);
+            System.exit(arguments.length == 1 && "--help".equals(arguments[0]) ? 0 : USAGE_EXIT_CODE);
             return;
         }
         try {
--- a/parsleydrift-daemon/src/test/java/org/parsleydrift/daemon/DaemonSettingsTest.java
+++ b/parsleydrift-daemon/src/test/java/org/parsleydrift/daemon/DaemonSettingsTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    public void everyFaultIsNamedAtOnce() {
+    public void allErrorsAreReportedTogether() {
         InvalidJsonException faults = expectThrows(
                 InvalidJsonException.class,
                 () -> DaemonSettings.parse("s.json", "{\"vm\": \"a b\",\n \"zone\": \"\",\n \"hpt\": 1}"));
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/AnswerReader.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/AnswerReader.java
@@ -11,7 +11,7 @@
     private final long start;
     private final Consumer<String> pieces;
     private final StringBuilder text = new StringBuilder();
-    private final LineSplitter lines = new LineSplitter(this::takeLine);
+    private final LineSplitter lines = new LineSplitter(this::handleLine);
     private String event = "";
     private ProgramAnswer answer;
     private boolean progressed;
@@ -25,7 +25,7 @@
         return start + text.length();
     }
 
-    synchronized boolean ended() {
+    synchronized boolean hasEnded() {
         return answer != null;
     }
 
@@ -33,7 +33,7 @@
         return answer;
     }
 
-    synchronized boolean progressed() {
+    synchronized boolean pollProgress() {
         boolean was = progressed;
         progressed = false;
         return was;
@@ -44,26 +44,26 @@
         event = "";
     }
 
-    synchronized void take(byte[] bytes) {
+    synchronized void append(byte[] bytes) {
         lines.append(bytes);
     }
 
-    private void takeLine(String read) {
+    private void handleLine(String read) {
         if (read.startsWith("event: ")) {
             event = read.substring("event: ".length());
         } else if (read.startsWith("data: ")) {
             try {
-                takeEvent(JsonDocument.MAPPER.readTree(read.substring("data: ".length())));
+                handleEvent(JsonDocument.MAPPER.readTree(read.substring("data: ".length())));
             } catch (JsonProcessingException fault) {
                 throw new IllegalStateException("bad event " + read, fault);
             }
         }
     }
 
-    private void takeEvent(JsonNode data) {
+    private void handleEvent(JsonNode data) {
         switch (event) {
             case "output" ->
-                output(data.path("offset").asLong(), data.path("text").asText());
+                appendOutput(data.path("offset").asLong(), data.path("text").asText());
             case "rewind" ->
                 text.setLength((int) Math.max(0, data.path("offset").asLong() - start));
             case "end" -> {
@@ -79,7 +79,7 @@
         }
     }
 
-    private void output(long offset, String piece) {
+    private void appendOutput(long offset, String piece) {
         if (offset != offset()) {
             throw new IllegalStateException("piece at " + offset + " where " + offset() + " was due");
         }
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/CallerClient.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/CallerClient.java
@@ -23,10 +23,10 @@
  * Blocking; for command lines, benches and tests.
  */
 public final class CallerClient implements AutoCloseable {
-    private static final Duration SILENCE = Duration.ofSeconds(30);
-    private static final Duration STREAM_SILENCE = Duration.ofSeconds(4);
-    private static final int ROUNDS = 20;
-    private static final long PAUSE_MILLIS = 250;
+    private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration STREAM_IDLE_TIMEOUT = Duration.ofSeconds(4);
+    private static final int MAX_ATTEMPTS = 20;
+    private static final long RETRY_DELAY_MILLIS = 250;
 
     private final List<String> entries;
     private final NetworkThreads threads = new NetworkThreads("caller", 2);
@@ -100,11 +100,11 @@
     public JsonNode call(String method, String target, String body) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         StepException last = null;
-        for (int round = 0; round < ROUNDS; round++) {
+        for (int round = 0; round < MAX_ATTEMPTS; round++) {
             String address = entries.get(round % entries.size());
             try {
                 HttpClientResponse answer = client.send(
-                                new HttpRequestSpec(address, method, target, bytes, SILENCE, false))
+                                new HttpRequestSpec(address, method, target, bytes, IDLE_TIMEOUT, false))
                         .join();
                 return read(address, answer);
             } catch (CompletionException failure) {
@@ -113,7 +113,7 @@
                         Step.FORWARD,
                         address,
                         StepException.unwrap(failure).getMessage(),
-                        PAUSE_MILLIS);
+                        RETRY_DELAY_MILLIS);
                 pause();
             } catch (CallerException refusal) {
                 if (refusal.retryAfterMillis() == 0) {
@@ -137,13 +137,16 @@
      */
     public ProgramAnswer watch(String program, long offset, Consumer<String> pieces) {
         AnswerReader reader = new AnswerReader(offset, pieces);
-        for (int round = 0; round < ROUNDS; round++) {
+        for (int round = 0; round < MAX_ATTEMPTS; round++) {
             String address = entries.get(round % entries.size());
             HttpRequestSpec request = HttpRequestSpec.of(
-                    address, "GET", "/v1/programs/" + program + "/answer?offset=" + reader.offset(), STREAM_SILENCE);
+                    address,
+                    "GET",
+                    "/v1/programs/" + program + "/answer?offset=" + reader.offset(),
+                    STREAM_IDLE_TIMEOUT);
             reader.newConnection();
             CompletableFuture<HttpClientResponse> closed =
-                    client.stream(request, reader::take).response();
+                    client.stream(request, reader::append).response();
             try {
                 HttpClientResponse answer = closed.join();
                 if (answer.status() >= 300) {
@@ -158,10 +161,10 @@
                 }
                 pause();
             }
-            if (reader.ended()) {
+            if (reader.hasEnded()) {
                 return reader.answer();
             }
-            if (reader.progressed()) {
+            if (reader.pollProgress()) {
                 round = 0;
             }
         }
@@ -202,6 +205,6 @@
     }
 
     private static void pause() {
-        java.util.concurrent.locks.LockSupport.parkNanos(PAUSE_MILLIS * 1_000_000);
+        java.util.concurrent.locks.LockSupport.parkNanos(RETRY_DELAY_MILLIS * 1_000_000);
     }
 }
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/LogDigest.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/LogDigest.java
@@ -24,7 +24,7 @@
     private static final int EXAMPLES = 3;
 
     private final Map<String, Request> requests = new HashMap<>();
-    private long leftOut;
+    private long droppedLines;
 
     private record Fields(Map<String, String> values) {
         static Fields of(String line) {
@@ -54,45 +54,45 @@
         private String outcome = "-";
         private String cause = "-";
         private OptionalLong endedAt = OptionalLong.empty();
-        private long took;
-        private long prompt;
-        private long missing;
+        private long durationMillis;
+        private long promptTokens;
+        private long uncachedTokens;
 
-        private long arrival() {
-            return endedAt.orElse(0) - took;
+        private long arrivalMillis() {
+            return endedAt.orElse(0) - durationMillis;
         }
 
-        private OptionalLong waited() {
+        private OptionalLong waitMillis() {
             return placedAt.isEmpty()
                     ? OptionalLong.empty()
-                    : OptionalLong.of(Math.max(0, placedAt.getFirst() - arrival()));
+                    : OptionalLong.of(Math.max(0, placedAt.getFirst() - arrivalMillis()));
         }
 
-        private boolean served() {
+        private boolean isServed() {
             return outcome.equals("answered");
         }
     }
 
     LogDigest(Stream<String> lines) {
-        lines.filter(line -> line.contains("event=")).map(Fields::of).forEach(this::take);
+        lines.filter(line -> line.contains("event=")).map(Fields::of).forEach(this::addLine);
     }
 
-    private void take(Fields line) {
+    private void addLine(Fields line) {
         switch (line.text("event")) {
             case "request_placed" -> {
                 Request request = request(line);
                 request.placedAt.add(line.number("at_ms"));
-                request.prompt = line.number("prompt");
-                request.missing += line.number("missing");
+                request.promptTokens = line.number("prompt");
+                request.uncachedTokens += line.number("missing");
             }
             case "request_ended" -> {
                 Request request = request(line);
                 request.outcome = line.text("outcome");
                 request.cause = line.text("cause");
-                request.took = line.number("ms");
+                request.durationMillis = line.number("ms");
                 request.endedAt = OptionalLong.of(line.number("at_ms"));
             }
-            case "log_lines_left_out" -> leftOut += line.number("count");
+            case "log_lines_left_out" -> droppedLines += line.number("count");
             default -> {
                 // Other events tell of beliefs, not of requests.
             }
@@ -110,38 +110,38 @@
     List<String> report() {
         List<Request> ended = requests.values().stream()
                 .filter(each -> each.endedAt.isPresent())
-                .sorted(Comparator.comparingLong(Request::arrival))
+                .sorted(Comparator.comparingLong(Request::arrivalMillis))
                 .toList();
-        long start = ended.isEmpty() ? 0 : ended.getFirst().arrival();
+        long start = ended.isEmpty() ? 0 : ended.getFirst().arrivalMillis();
         List<String> out = new ArrayList<>();
         out.add(String.format(
                 Locale.ROOT,
                 "%d requests; %d log lines were left out under load; %s",
                 ended.size(),
-                leftOut,
-                returns(ended)));
+                droppedLines,
+                refusalSummary(ended)));
         out.add(String.format(
                 "%6s %7s %7s %7s %6s %8s %8s %9s %9s",
                 "second", "ended", "served", "refused", "other", "wait p50", "wait p95", "prompt", "read"));
         ended.stream()
                 .collect(Collectors.groupingBy(
-                        each -> (each.arrival() - start) / 1000, TreeMap::new, Collectors.toList()))
-                .forEach((second, some) -> out.add(second(second, some)));
+                        each -> (each.arrivalMillis() - start) / 1000, TreeMap::new, Collectors.toList()))
+                .forEach((second, some) -> out.add(formatSecond(second, some)));
         out.add("");
         out.add("not served, by cause");
         ended.stream()
-                .filter(each -> !each.served())
+                .filter(each -> !each.isServed())
                 .collect(Collectors.groupingBy(each -> each.outcome + " " + each.cause))
                 .entrySet()
                 .stream()
                 .sorted(Comparator.comparingInt(each -> -each.getValue().size()))
-                .forEach(each -> out.add(cause(each.getKey(), each.getValue(), start)));
+                .forEach(each -> out.add(formatCause(each.getKey(), each.getValue(), start)));
         return out;
     }
 
-    private static String second(long second, List<Request> some) {
+    private static String formatSecond(long second, List<Request> some) {
         long[] waits = some.stream()
-                .map(Request::waited)
+                .map(Request::waitMillis)
                 .flatMapToLong(OptionalLong::stream)
                 .sorted()
                 .toArray();
@@ -150,37 +150,38 @@
                 "%6d %7d %7d %7d %6d %8d %8d %9d %9d",
                 second,
                 some.size(),
-                some.stream().filter(Request::served).count(),
+                some.stream().filter(Request::isServed).count(),
                 some.stream().filter(each -> each.outcome.equals("refused")).count(),
                 some.stream()
-                        .filter(each -> !each.served() && !each.outcome.equals("refused"))
+                        .filter(each -> !each.isServed() && !each.outcome.equals("refused"))
                         .count(),
                 quantile(waits, 0.5),
                 quantile(waits, 0.95),
-                some.stream().mapToLong(each -> each.prompt).sum(),
-                some.stream().mapToLong(each -> each.missing).sum());
+                some.stream().mapToLong(each -> each.promptTokens).sum(),
+                some.stream().mapToLong(each -> each.uncachedTokens).sum());
     }
 
-    private static String cause(String cause, List<Request> some, long start) {
-        long[] took = some.stream().mapToLong(each -> each.took).sorted().toArray();
+    private static String formatCause(String cause, List<Request> some, long start) {
+        long[] took =
+                some.stream().mapToLong(each -> each.durationMillis).sorted().toArray();
         String examples = some.stream()
                 .limit(EXAMPLES)
-                .map(each -> each.id + " at " + (each.arrival() - start) + " ms")
+                .map(each -> each.id + " at " + (each.arrivalMillis() - start) + " ms")
                 .collect(Collectors.joining(", "));
         return String.format(
                 Locale.ROOT, "%6d %s; median after %d ms; %s", some.size(), cause, quantile(took, 0.5), examples);
     }
 
     /** Of the refused requests' programs, how many had a request served later. */
-    private static String returns(List<Request> ended) {
+    private static String refusalSummary(List<Request> ended) {
         Map<String, Long> refusedAt = ended.stream()
                 .filter(each -> each.outcome.equals("refused") && !each.program.equals("-"))
-                .collect(Collectors.toMap(each -> each.program, Request::arrival, Math::min));
+                .collect(Collectors.toMap(each -> each.program, Request::arrivalMillis, Math::min));
         long back = refusedAt.entrySet().stream()
                 .filter(refused -> ended.stream()
                         .anyMatch(each -> each.program.equals(refused.getKey())
-                                && each.served()
-                                && each.arrival() > refused.getValue()))
+                                && each.isServed()
+                                && each.arrivalMillis() > refused.getValue()))
                 .count();
         return refusedAt.size() + " programs met a refusal, " + back + " of them were served later";
     }
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/LogStory.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/LogTrace.java
@@ -14,17 +14,17 @@
  * The story of a request or a program, told by the logs of several processes in order of time: its own lines, lines about
  * the runners that it was placed at, and changes of what the processes believed just before and meanwhile.
  */
-final class LogStory {
+final class LogTrace {
     /** How long before the first line a change of belief may matter, ms: a request waits for about a second at most. */
-    private static final long BEFORE_MILLIS = 2000;
+    private static final long LOOKBACK_MILLIS = 2000;
 
-    private static final Pattern TIME = Pattern.compile("\\bat_ms=(\\d+)");
+    private static final Pattern TIMESTAMP = Pattern.compile("\\bat_ms=(\\d+)");
     private static final Pattern RUNNER = Pattern.compile("\\brunner=(\\S+)");
-    private static final Pattern BELIEF =
+    private static final Pattern STATE_CHANGE =
             Pattern.compile("\\bevent=(role_|drain_|platform_|manifest_|history_|store_|retirement_|"
                     + "peer_silent|link_silent|settings_|log_lines_|loop_task_failed|disk_)");
 
-    private static final Pattern STORES = Pattern.compile("\\bevent=(store_(opened|set_|complete)|retirement_)");
+    private static final Pattern STORE_CHANGE = Pattern.compile("\\bevent=(store_(opened|set_|complete)|retirement_)");
 
     private final List<Line> lines;
 
@@ -36,39 +36,39 @@
      */
     record Line(String source, String text) {
         OptionalLong atMillis() {
-            Matcher matcher = TIME.matcher(text);
+            Matcher matcher = TIMESTAMP.matcher(text);
             return matcher.find() ? OptionalLong.of(Long.parseLong(matcher.group(1))) : OptionalLong.empty();
         }
     }
 
-    LogStory(List<Line> lines) {
+    LogTrace(List<Line> lines) {
         this.lines = List.copyOf(lines);
     }
 
     /** The lines that tell the story of an id; empty if no line names it. */
     List<Line> of(String id) {
         Pattern named = Pattern.compile("=" + Pattern.quote(id) + "(?=\\s|$)");
-        List<Line> own =
+        List<Line> matching =
                 lines.stream().filter(line -> named.matcher(line.text()).find()).toList();
-        if (own.isEmpty()) {
+        if (matching.isEmpty()) {
             return List.of();
         }
-        Set<String> runners = own.stream()
+        Set<String> runners = matching.stream()
                 .map(line -> RUNNER.matcher(line.text()))
                 .filter(Matcher::find)
                 .map(matcher -> matcher.group(1))
                 .collect(Collectors.toSet());
-        Set<String> servers = own.stream().map(Line::source).collect(Collectors.toSet());
-        long first = millis(own).min().orElse(Long.MIN_VALUE);
-        long last = millis(own).max().orElse(Long.MAX_VALUE);
-        Stream<Line> around = lines.stream()
-                .filter(line -> !own.contains(line))
-                .filter(line -> within(line, first - BEFORE_MILLIS, last))
-                .filter(line -> tellsOfRunner(line, runners)
-                        || STORES.matcher(line.text()).find()
-                        || (servers.contains(line.source())
-                                && BELIEF.matcher(line.text()).find()));
-        return Stream.concat(own.stream(), around)
+        Set<String> sources = matching.stream().map(Line::source).collect(Collectors.toSet());
+        long first = millis(matching).min().orElse(Long.MIN_VALUE);
+        long last = millis(matching).max().orElse(Long.MAX_VALUE);
+        Stream<Line> related = lines.stream()
+                .filter(line -> !matching.contains(line))
+                .filter(line -> within(line, first - LOOKBACK_MILLIS, last))
+                .filter(line -> concernsRunner(line, runners)
+                        || STORE_CHANGE.matcher(line.text()).find()
+                        || (sources.contains(line.source())
+                                && STATE_CHANGE.matcher(line.text()).find()));
+        return Stream.concat(matching.stream(), related)
                 .sorted(Comparator.comparingLong(line -> line.atMillis().orElse(Long.MAX_VALUE)))
                 .toList();
     }
@@ -82,7 +82,7 @@
         return at.isPresent() && at.getAsLong() >= from && at.getAsLong() <= to;
     }
 
-    private static boolean tellsOfRunner(Line line, Set<String> runners) {
+    private static boolean concernsRunner(Line line, Set<String> runners) {
         Matcher matcher = RUNNER.matcher(line.text());
         return line.text().contains("event=runner_") && matcher.find() && runners.contains(matcher.group(1));
     }
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/Parsleydrift.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/Parsleydrift.java
@@ -159,12 +159,12 @@
     }
 
     private int explain(String files, String id) throws IOException {
-        List<LogStory.Line> story = new LogStory(logLines(files)).of(id);
-        if (story.isEmpty()) {
+        List<LogTrace.Line> trace = new LogTrace(logLines(files)).of(id);
+        if (trace.isEmpty()) {
             err.println("parsleydrift: no line names " + id);
             return ExitCode.REFUSED;
         }
-        story.forEach(line -> out.println(line.source() + ": " + line.text()));
+        trace.forEach(line -> out.println(line.source() + ": " + line.text()));
         return ExitCode.OK;
     }
 
@@ -173,18 +173,18 @@
             err.println("parsleydrift: digest needs --log FILES");
             return ExitCode.USAGE;
         }
-        List<LogStory.Line> lines = logLines(options.valueOf(logOption));
-        new LogDigest(lines.stream().map(LogStory.Line::text)).report().forEach(out::println);
+        List<LogTrace.Line> lines = logLines(options.valueOf(logOption));
+        new LogDigest(lines.stream().map(LogTrace.Line::text)).report().forEach(out::println);
         return ExitCode.OK;
     }
 
-    private static List<LogStory.Line> logLines(String files) throws IOException {
-        List<LogStory.Line> lines = new ArrayList<>();
+    private static List<LogTrace.Line> logLines(String files) throws IOException {
+        List<LogTrace.Line> lines = new ArrayList<>();
         for (String file : files.split(",", -1)) {
             Path path = Path.of(file);
             Files.readAllLines(path)
                     .forEach(text ->
-                            lines.add(new LogStory.Line(path.getFileName().toString(), text)));
+                            lines.add(new LogTrace.Line(path.getFileName().toString(), text)));
         }
         return lines;
     }
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/Quickstart.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/Quickstart.java
@@ -60,9 +60,9 @@
         caller.send(intake, "reply-1", "It is at number 12, the water is up to the door.");
         show("debate-1", debate);
         show("intake-1", intake);
-        long doubled = doubledEffects();
-        System.out.println("quickstart programs=2 complete=" + complete + " duplicated_effects=" + doubled);
-        return complete == 2 && doubled == 0 ? ExitCode.OK : ExitCode.REFUSED;
+        long duplicated = countDuplicatedEffects();
+        System.out.println("quickstart programs=2 complete=" + complete + " duplicated_effects=" + duplicated);
+        return complete == 2 && duplicated == 0 ? ExitCode.OK : ExitCode.REFUSED;
     }
 
     private String start(String team, String key, String agent, String prompt) {
@@ -82,7 +82,7 @@
         }
     }
 
-    private long doubledEffects() {
+    private long countDuplicatedEffects() {
         return tools.stream()
                 .mapToLong(tool -> {
                     try (CallerClient direct = new CallerClient(List.of(tool))) {
--- a/parsleydrift-tools/src/test/java/org/parsleydrift/tools/LogDigestTest.java
+++ b/parsleydrift-tools/src/test/java/org/parsleydrift/tools/LogDigestTest.java
@@ -22,7 +22,7 @@
             "no line of ours");
 
     @Test
-    public void tellsBySecondAndByCause() {
+    public void reportsBySecondAndByCause() {
         List<String> report = new LogDigest(LINES).report();
         assertTrue(report.getFirst().startsWith("3 requests; 7 log lines were left out"), report.getFirst());
         assertTrue(report.getFirst().endsWith("1 programs met a refusal, 1 of them were served later"));
@@ -33,7 +33,7 @@
     }
 
     @Test
-    public void theCommandAsksForLogs() {
+    public void digestCommandRequiresLogs() {
         PrintStream print = new PrintStream(new ByteArrayOutputStream(), true, UTF_8);
         assertEquals(Parsleydrift.run(List.of("digest"), print, print), ExitCode.USAGE);
     }
--- a/parsleydrift-tools/src/test/java/org/parsleydrift/tools/LogStoryTest.java
+++ b/parsleydrift-tools/src/test/java/org/parsleydrift/tools/LogTraceTest.java
@@ -12,25 +12,25 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-public class LogStoryTest {
-    private static final List<LogStory.Line> LINES = List.of(
-            new LogStory.Line("e1", "event=request_ended request=q1 program=p1 outcome=stream_cut at_ms=5000"),
-            new LogStory.Line("e1", "event=request_placed request=q1 program=p1 runner=r7 at_ms=4900"),
-            new LogStory.Line("e2", "event=runner_gone runner=r7 at_ms=4950"),
-            new LogStory.Line("e2", "event=runner_gone runner=r8 at_ms=4951"),
-            new LogStory.Line("s1", "event=store_set_adopted epoch=4 at_ms=3500"),
-            new LogStory.Line("s1", "event=store_set_adopted epoch=3 at_ms=100"),
-            new LogStory.Line("e3", "event=platform_lost kind=RUNNERS at_ms=4800"),
-            new LogStory.Line("e1", "event=request_placed request=q11 program=p1 runner=r9 at_ms=4960"));
+public class LogTraceTest {
+    private static final List<LogTrace.Line> LINES = List.of(
+            new LogTrace.Line("e1", "event=request_ended request=q1 program=p1 outcome=stream_cut at_ms=5000"),
+            new LogTrace.Line("e1", "event=request_placed request=q1 program=p1 runner=r7 at_ms=4900"),
+            new LogTrace.Line("e2", "event=runner_gone runner=r7 at_ms=4950"),
+            new LogTrace.Line("e2", "event=runner_gone runner=r8 at_ms=4951"),
+            new LogTrace.Line("s1", "event=store_set_adopted epoch=4 at_ms=3500"),
+            new LogTrace.Line("s1", "event=store_set_adopted epoch=3 at_ms=100"),
+            new LogTrace.Line("e3", "event=platform_lost kind=RUNNERS at_ms=4800"),
+            new LogTrace.Line("e1", "event=request_placed request=q11 program=p1 runner=r9 at_ms=4960"));
 
-    private static List<String> story(String id) {
-        return new LogStory(LINES).of(id).stream().map(LogStory.Line::text).toList();
+    private static List<String> trace(String id) {
+        return new LogTrace(LINES).of(id).stream().map(LogTrace.Line::text).toList();
     }
 
     @Test
-    public void tellsTheRequestItsRunnerAndWhatChangedAroundIt() {
+    public void traceContainsRequestRunnerAndStateChanges() {
         assertEquals(
-                story("q1"),
+                trace("q1"),
                 List.of(
                         LINES.get(4).text(),
                         LINES.get(1).text(),
@@ -39,13 +39,13 @@
     }
 
     @Test
-    public void anIdIsNotTheStartOfAnother() {
-        assertTrue(story("q11").stream().noneMatch(line -> line.contains("request=q1 ")));
-        assertEquals(story("unknown"), List.of());
+    public void idsAreMatchedWhole() {
+        assertTrue(trace("q11").stream().noneMatch(line -> line.contains("request=q1 ")));
+        assertEquals(trace("unknown"), List.of());
     }
 
     @Test
-    public void theCommandReadsSeveralLogs() throws IOException {
+    public void explainCommandReadsSeveralLogs() throws IOException {
         Path first = Files.createTempFile("e1", ".log");
         Path second = Files.createTempFile("e2", ".log");
         Files.writeString(first, LINES.get(0).text() + "\n" + LINES.get(1).text() + "\n");
