--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/CallerApi.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/CallerApi.java
@@ -21,7 +21,7 @@
 import org.parsleydrift.wire.HttpExchange;
 import org.parsleydrift.wire.HttpHandler;
 
-/** The HTTP interface for callers and operators (docs/API.md). */
+/** HTTP API for callers and operators (docs/API.md). */
 final class CallerApi implements HttpHandler {
     private static final String JSON = "application/json";
     private static final String PROGRAMS = "/v1/programs/";
@@ -180,7 +180,7 @@
         return error;
     }
 
-    /** Whether the caller says that it never made this request before; a repeat must leave that out. */
+    /** Whether the caller marked this as its first attempt; retries must omit the mark. */
     private static boolean isFirstAttempt(JsonNode body) {
         return body.path("first").asBoolean(false);
     }
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/DaemonSettings.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/DaemonSettings.java
@@ -19,12 +19,12 @@
  * @param http address for callers
  * @param link address for peers
  * @param platform the platform's address
- * @param plugin the plug-in for outside systems; "http" if absent
+ * @param plugin name of the plug-in for external systems; "http" if absent
  * @param dataFolder folder for bulk data, or null
- * @param peers link addresses to ask for the manifest in an outage
+ * @param peers link addresses of peers that supply the manifest while the platform is unreachable
  * @param networkThreads network threads; 2 if absent
- * @param maxConnections callers' connections; 4096 if absent
- * @param timings times in milliseconds by name
+ * @param maxConnections maximum number of caller connections; 4096 if absent
+ * @param timings durations in milliseconds, and the platform write rate per second, by name
  */
 public record DaemonSettings(
         String vm,
@@ -41,7 +41,7 @@
     private static final int DEFAULT_THREADS = 2;
     private static final int DEFAULT_CONNECTIONS = 4096;
 
-    /** Fills in defaults. */
+    /** Replaces absent values with defaults. */
     public DaemonSettings {
         plugin = plugin == null ? "http" : plugin;
         peers = peers == null ? List.of() : List.copyOf(peers);
@@ -79,7 +79,7 @@
     }
 
     /**
-     * The node's part of the settings.
+     * Returns the settings of the node.
      *
      * @return identity and timings
      */
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpCallClient.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpCallClient.java
@@ -16,7 +16,7 @@
 import org.parsleydrift.wire.HttpException;
 import org.parsleydrift.wire.HttpRequestSpec;
 
-/** Tools and plain services over HTTP. Each call has a connection of its own: see {@link HttpRequestSpec#reuseConnection()}. */
+/** Calls tools and services over HTTP, on a new connection each; see {@link HttpRequestSpec#reuseConnection()}. */
 final class HttpCallClient implements CallClient {
     private final HttpClient client;
 
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpEngineClient.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpEngineClient.java
@@ -28,7 +28,7 @@
 import org.parsleydrift.wire.HttpRequestSpec;
 import org.parsleydrift.wire.LineSplitter;
 
-/** Model engines over HTTP: a turn is a stream of JSON lines, each naming its stream; the last one ends it. */
+/** HTTP client of model engines. A turn is a stream of JSON lines with a stream id; the last has {@code done}. */
 final class HttpEngineClient implements EngineClient {
     private static final Duration STREAM_IDLE_TIMEOUT = Duration.ofSeconds(4);
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
@@ -67,7 +67,7 @@
                 });
     }
 
-    /** One turn, over as many connections as it takes. Its state is guarded by itself. */
+    /** One turn, resumed on a new connection after a failure. Synchronized on itself. */
     private final class Turn {
         private final String runner;
         private final TurnRequest request;
@@ -116,7 +116,7 @@
             try {
                 JsonNode node = JsonDocument.MAPPER.readTree(json);
                 if (!request.streamId().equals(node.path("stream").asText())) {
-                    // An answer crossed with another stream's: taking it would mix two programs' histories.
+                    // Accepting a line of another stream would mix the histories of two programs.
                     fail(CallFailure.UNKNOWN, false, "line of another stream " + node.path("stream"));
                     call.cancel().run();
                 } else if (node.path("done").asBoolean()) {
@@ -158,7 +158,7 @@
             }
             boolean sent = !(StepException.unwrap(failure) instanceof HttpException known) || known.isPossiblySent();
             if (sent && resumes < MAX_RESUMES) {
-                // The connection was cut or fell silent; the engine goes on with the stream from where we are.
+                // The connection failed or timed out; the engine resumes the stream at the length received.
                 resumes++;
                 open();
                 return;
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpExternalSystemPlugin.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpExternalSystemPlugin.java
@@ -7,7 +7,7 @@
 import org.parsleydrift.kernel.upstream.EngineClient;
 import org.parsleydrift.wire.HttpClient;
 
-/** Meets platform, engines, tools and services over HTTP (docs/design/standins.md). */
+/** Connects to the platform, engines, tools and services over HTTP (docs/design/standins.md). */
 public final class HttpExternalSystemPlugin implements ExternalSystemPlugin {
     @Override
     public String name() {
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpObjectStore.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpObjectStore.java
@@ -20,7 +20,7 @@
 import org.parsleydrift.wire.HttpClientResponse;
 import org.parsleydrift.wire.HttpRequestSpec;
 
-/** The platform's object API over HTTP. */
+/** HTTP client of the platform's object API. */
 final class HttpObjectStore implements ObjectStore {
     private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(5);
     private static final Duration WATCH_IDLE_TIMEOUT = Duration.ofSeconds(25);
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpReplyWriter.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpReplyWriter.java
@@ -12,7 +12,7 @@
 import org.parsleydrift.program.CallOutcome;
 import org.parsleydrift.wire.HttpExchange;
 
-/** Replies as HTTP: JSON, or server-sent events for an answer as it comes. */
+/** Writes replies to callers as JSON, or as server-sent events when the answer is streamed. */
 final class HttpReplyWriter {
     private static final String JSON = "application/json";
     private static final long MILLIS_PER_SECOND = 1000;
@@ -27,7 +27,7 @@
         }
     }
 
-    /** Answers with the final reply to a request. */
+    /** Writes the final reply; a reply that is not final aborts the exchange. */
     static void writeFinal(HttpExchange exchange, CallerReply reply) {
         switch (reply) {
             case CallerReply.Accepted accepted ->
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Answers with an error that carries step and peer, and says when to come back. */
+    /** Writes an error with its step and peer, and a {@code Retry-After} header if the caller may retry. */
     static void refuse(HttpExchange exchange, CallerReply.Refused refused) {
         Map<String, String> headers = refused.retryAfterMillis() > 0
                 ? Map.of(
@@ -65,7 +65,10 @@
         exchange.respond(status(refused), JSON, toJson(error(refused)), headers);
     }
 
-    /** Streams an answer: events output, rewind, end and error; a stream without end or error is cut. */
+    /**
+     * Streams an answer as events {@code output}, {@code rewind}, {@code end} and {@code error}. A stream that closes
+     * without {@code end} or {@code error} is incomplete.
+     */
     static void stream(HttpExchange exchange, EventLoop loop, Function<ReplySink, Runnable> open) {
         boolean[] begun = {false};
         Runnable cancel = open.apply(reply -> {
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/MessagePackLinks.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/MessagePackLinks.java
@@ -8,7 +8,7 @@
 import org.parsleydrift.wire.FrameLinks;
 import org.parsleydrift.wire.NetworkThreads;
 
-/** Links between nodes: MessagePack in TCP frames. */
+/** Connections between nodes that carry MessagePack messages in TCP frames. */
 final class MessagePackLinks implements PeerLinks, AutoCloseable {
     private final FrameLinks frames;
 
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/MeteredObjectStore.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/MeteredObjectStore.java
@@ -11,7 +11,7 @@
 import org.parsleydrift.kernel.platform.StoredObject;
 import org.parsleydrift.kernel.platform.VmEntry;
 
-/** Counts each call of the platform, a waiting watch among them, and each failure by kind. */
+/** Counts calls to the platform, failures by kind, and watches in progress. */
 final class MeteredObjectStore implements ObjectStore {
     private static final String CALLS = "parsleydrift.platform.calls";
 
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/ParsleydriftDaemon.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/ParsleydriftDaemon.java
@@ -22,7 +22,7 @@
 import org.parsleydrift.wire.HttpServer;
 import org.parsleydrift.wire.NetworkThreads;
 
-/** The daemon: one on every entry VM. SIGTERM drains it. */
+/** The daemon process; one runs on each entry VM. SIGTERM drains it. */
 public final class ParsleydriftDaemon implements AutoCloseable {
     private static final Logger LOG = System.getLogger(ParsleydriftDaemon.class.getName());
     private static final int USAGE_EXIT_CODE = 2;
@@ -36,9 +36,9 @@
     private final NodeSettings settings;
 
     /**
-     * Starts a daemon.
+     * Starts the node and its listeners.
      *
-     * @param settings its settings
+     * @param settings the settings of this daemon
      */
     public ParsleydriftDaemon(DaemonSettings settings) {
         this.settings = settings.nodeSettings();
@@ -89,9 +89,9 @@
     }
 
     /**
-     * Runs a daemon until it is told to end.
+     * Runs the daemon until the process is terminated.
      *
-     * @param arguments the settings file
+     * @param arguments the path of the settings file
      */
     public static void main(String[] arguments) {
         if (arguments.length != 1 || arguments[0].startsWith("-")) {
@@ -111,7 +111,7 @@
         }
     }
 
-    /** Hands all programs over and waits until no caller waits here, within limits. */
+    /** Hands over all programs and waits for pending callers, at most a multiple of the drain timeout. */
     public void drain() {
         CountDownLatch drained = new CountDownLatch(1);
         loop.execute(() -> node.drain().whenComplete((done, failure) -> drained.countDown()));
--- a/parsleydrift-daemon/src/test/java/org/parsleydrift/daemon/DaemonSettingsTest.java
+++ b/parsleydrift-daemon/src/test/java/org/parsleydrift/daemon/DaemonSettingsTest.java
@@ -7,7 +7,7 @@
 import org.parsleydrift.kernel.codec.InvalidJsonException;
 import org.testng.annotations.Test;
 
-/** Settings are checked whole, with every fault at its place. */
+/** Tests parsing and validation of the settings file. */
 public class DaemonSettingsTest {
     @Test
     public void commentsAndTimingsAreRead() {
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/AnswerCheck.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/AnswerCheck.java
@@ -2,18 +2,18 @@
 
 import java.util.List;
 
-/** Checks the answer of a stand-in engine token by token: each names its program, agent, turn and position. */
+/** Verifies the tokens of a stand-in engine's answer, which have the form {@code program:agent:turn:position}. */
 public final class AnswerCheck {
     private static final int FIELDS = 4;
 
     private AnswerCheck() {}
 
     /**
-     * Finds the first fault of an answer.
+     * Finds the first error in an answer.
      *
      * @param key the program's key
      * @param answer the answer
-     * @return what is wrong, or an empty text
+     * @return a description of the error, or an empty string if there is none
      */
     public static String fault(String key, ProgramAnswer answer) {
         if (!answer.whole()) {
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/AnswerReader.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/AnswerReader.java
@@ -6,7 +6,7 @@
 import org.parsleydrift.kernel.codec.JsonDocument;
 import org.parsleydrift.wire.LineSplitter;
 
-/** Reads the server-sent events of an answer and keeps the offset reached, over connections. Thread-safe. */
+/** Reads the server-sent events of an answer and keeps its offset across connections. Thread-safe. */
 final class AnswerReader {
     private final long start;
     private final Consumer<String> pieces;
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/CallerClient.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/CallerClient.java
@@ -19,8 +19,8 @@
 import org.parsleydrift.wire.NetworkThreads;
 
 /**
- * A caller: knows some entry nodes, keeps its keys over retries, and reads an answer on from where a connection broke.
- * Blocking; for command lines, benches and tests.
+ * Blocking client of the caller API. Retries requests with the same key on other entry nodes, and resumes interrupted
+ * answers at the offset received.
  */
 public final class CallerClient implements AutoCloseable {
     private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(30);
@@ -33,19 +33,19 @@
     private final HttpClient client = new HttpClient(threads);
 
     /**
-     * Makes a caller.
+     * Creates a client.
      *
-     * @param entries addresses of entry nodes
+     * @param entries addresses of entry nodes as host:port, not empty
      */
     public CallerClient(List<String> entries) {
         this.entries = new ArrayList<>(entries);
     }
 
     /**
-     * Asks which address to use.
+     * Requests an entry node and a ticket for a team.
      *
      * @param team the caller's team
-     * @return the advice as JSON
+     * @return the assigned entry node and the ticket as JSON
      * @throws CallerException if no node answers
      */
     public JsonNode entry(String team) {
@@ -53,13 +53,13 @@
     }
 
     /**
-     * Starts a program; safe to repeat.
+     * Starts a program; idempotent for the same ticket, team and key.
      *
      * @param ticket the ticket from {@link #entry}
      * @param team the caller's team
      * @param key the caller's key
-     * @param agent the kind of program
-     * @param prompt its first input
+     * @param agent the agent's name in the manifest
+     * @param prompt the first input of the program
      * @return the program's id
      * @throws CallerException if it is refused or no node answers
      */
@@ -74,10 +74,10 @@
     }
 
     /**
-     * Sends a message to a program; safe to repeat.
+     * Sends a message to a program; idempotent for the same key.
      *
      * @param program the program's id
-     * @param key the caller's key of the message
+     * @param key the key that identifies the message
      * @param text the message
      * @return the reply as JSON
      * @throws CallerException if it is refused or no node answers
@@ -89,7 +89,7 @@
     }
 
     /**
-     * Makes any request, at one entry node after the other while none answers.
+     * Sends a request, retrying on the next entry node while none answers or the request may be retried.
      *
      * @param method the HTTP method
      * @param target path and query
@@ -127,13 +127,13 @@
     }
 
     /**
-     * Reads a program's answer to its end, over as many connections as it takes.
+     * Reads a program's answer to its end, reconnecting after interruptions.
      *
      * @param program the program's id
-     * @param offset characters already read
-     * @param pieces receives each piece as it comes; what a rewind takes back is told as its new length
-     * @return the whole answer from offset on, and the end event
-     * @throws CallerException if it is refused, or can't be read to its end
+     * @param offset number of characters already read
+     * @param pieces receives each piece of output; text withdrawn by a rewind is not reported
+     * @return the answer from the offset on, with the end event
+     * @throws CallerException if the request is refused, or the answer is not complete after all attempts
      */
     public ProgramAnswer watch(String program, long offset, Consumer<String> pieces) {
         AnswerReader reader = new AnswerReader(offset, pieces);
@@ -153,7 +153,7 @@
                     read(address, answer);
                 }
             } catch (CompletionException cut) {
-                // Cut or silent: the next connection reads on from the offset reached.
+                // The connection failed or timed out; the next one resumes at the offset received.
                 pause();
             } catch (CallerException refusal) {
                 if (refusal.retryAfterMillis() == 0) {
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/CallerException.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/CallerException.java
@@ -3,19 +3,19 @@
 import org.parsleydrift.kernel.Step;
 import org.parsleydrift.kernel.StepException;
 
-/** A request that was refused or could not be made, with the exit code that tells which. */
+/** Thrown when a request was refused or could not be sent; the exit code distinguishes the two. */
 public final class CallerException extends StepException {
     private final int exitCode;
     private final long retryAfterMillis;
 
     /**
-     * Makes an error.
+     * Creates an exception.
      *
-     * @param exitCode what the command line exits with
-     * @param step where it arose
-     * @param peer the other side
-     * @param message what happened
-     * @param retryAfterMillis when to come back; 0 for never
+     * @param exitCode one of the constants of {@link ExitCode}
+     * @param step the step that failed
+     * @param peer address or name of the remote side
+     * @param message the error message
+     * @param retryAfterMillis delay before a retry in milliseconds; 0 if a retry is useless
      */
     public CallerException(int exitCode, Step step, String peer, String message, long retryAfterMillis) {
         super(step, peer, message);
@@ -24,18 +24,18 @@
     }
 
     /**
-     * What the command line exits with.
+     * Returns the exit code of the command line.
      *
-     * @return the exit code
+     * @return one of the constants of {@link ExitCode}
      */
     public int exitCode() {
         return exitCode;
     }
 
     /**
-     * When to come back.
+     * Returns the delay before a retry.
      *
-     * @return milliseconds, 0 for never
+     * @return milliseconds; 0 if a retry is useless
      */
     public long retryAfterMillis() {
         return retryAfterMillis;
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/ExitCode.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/ExitCode.java
@@ -2,15 +2,15 @@
 
 /** Exit codes of the command-line tools (docs/OPERATIONS.md, "Command line"). */
 public final class ExitCode {
-    /** Done. */
+    /** The command succeeded. */
     public static final int OK = 0;
-    /** Refused: it did not run, or the request makes no sense. */
+    /** The request was rejected or is invalid; it was not executed. */
     public static final int REFUSED = 1;
-    /** The command line makes no sense. */
+    /** The command line is invalid. */
     public static final int USAGE = 2;
-    /** It may have run; the same command with the same key is safe. */
+    /** The request may have been executed; it can be retried safely with the same key. */
     public static final int OUTCOME_UNKNOWN = 3;
-    /** No entry node answered, or an answer was cut and could not be resumed. */
+    /** No entry node answered, or an interrupted answer could not be resumed. */
     public static final int UNREACHABLE = 4;
 
     private ExitCode() {}
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/LogDigest.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/LogDigest.java
@@ -14,13 +14,12 @@
 import java.util.stream.Stream;
 
 /**
- * What the entry processes decided in a period, from their logs: by second, how many requests ended how, how long they
- * waited for a runner and what their prompts cost; and by cause, what was not served, with the ids to look further with.
- * Lines that a log left out under load are not in it; their number is told.
+ * Summary of requests from the logs of entry processes: outcomes, queueing times and prompt tokens per second, and
+ * failed requests by cause with example ids. Log lines dropped under load are not included; their number is reported.
  */
 final class LogDigest {
     private static final Pattern FIELD = Pattern.compile("\\b([a-z_]+)=(\"[^\"]*\"|\\S+)");
-    /** Ids told of each cause. */
+    /** Example ids per cause. */
     private static final int EXAMPLES = 3;
 
     private final Map<String, Request> requests = new HashMap<>();
@@ -46,7 +45,7 @@
         }
     }
 
-    /** One request as its lines tell of it. */
+    /** State of one request, collected from its log lines. */
     private static final class Request {
         private final List<Long> placedAt = new ArrayList<>();
         private String id = "-";
@@ -94,7 +93,7 @@
             }
             case "log_lines_left_out" -> droppedLines += line.number("count");
             default -> {
-                // Other events tell of beliefs, not of requests.
+                // Other events do not concern single requests.
             }
         }
     }
@@ -106,7 +105,7 @@
         return request;
     }
 
-    /** The digest as text. */
+    /** Returns the lines of the report. */
     List<String> report() {
         List<Request> ended = requests.values().stream()
                 .filter(each -> each.endedAt.isPresent())
@@ -172,7 +171,7 @@
                 Locale.ROOT, "%6d %s; median after %d ms; %s", some.size(), cause, quantile(took, 0.5), examples);
     }
 
-    /** Of the refused requests' programs, how many had a request served later. */
+    /** Counts programs with a refused request, and those of them with a later request that was served. */
     private static String refusalSummary(List<Request> ended) {
         Map<String, Long> refusedAt = ended.stream()
                 .filter(each -> each.outcome.equals("refused") && !each.program.equals("-"))
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/LogTrace.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/LogTrace.java
@@ -11,11 +11,11 @@
 import java.util.stream.Stream;
 
 /**
- * The story of a request or a program, told by the logs of several processes in order of time: its own lines, lines about
- * the runners that it was placed at, and changes of what the processes believed just before and meanwhile.
+ * Log lines of several processes that concern one request or program, ordered by time: lines with its id, lines about
+ * the runners it was placed on, and state changes of the processes involved shortly before and during it.
  */
 final class LogTrace {
-    /** How long before the first line a change of belief may matter, ms: a request waits for about a second at most. */
+    /** State changes this long before the first line are included; longer than a request waits for a runner. */
     private static final long LOOKBACK_MILLIS = 2000;
 
     private static final Pattern TIMESTAMP = Pattern.compile("\\bat_ms=(\\d+)");
@@ -29,10 +29,10 @@
     private final List<Line> lines;
 
     /**
-     * A line of a log.
+     * A log line.
      *
-     * @param source the log it stands in
-     * @param text the line
+     * @param source file name of the log
+     * @param text the line without its terminator
      */
     record Line(String source, String text) {
         OptionalLong atMillis() {
@@ -45,7 +45,7 @@
         this.lines = List.copyOf(lines);
     }
 
-    /** The lines that tell the story of an id; empty if no line names it. */
+    /** Returns the lines that concern an id; empty if no line contains it. */
     List<Line> of(String id) {
         Pattern named = Pattern.compile("=" + Pattern.quote(id) + "(?=\\s|$)");
         List<Line> matching =
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/Parsleydrift.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/Parsleydrift.java
@@ -18,7 +18,7 @@
 import org.parsleydrift.kernel.codec.InvalidJsonException;
 import org.parsleydrift.manifest.ManifestParser;
 
-/** The command line for callers and operators (docs/OPERATIONS.md, "Command line"). */
+/** Command-line tool for callers and operators (docs/OPERATIONS.md, "Command line"). */
 public final class Parsleydrift {
     private static final String USAGE = """
             usage: parsleydrift [options] COMMAND
@@ -74,9 +74,9 @@
     }
 
     /**
-     * Runs one command.
+     * Runs one command and exits with its exit code.
      *
-     * @param arguments see {@code --help}
+     * @param arguments command and options, see {@code --help}
      */
     public static void main(String[] arguments) {
         System.exit(run(List.of(arguments), System.out, System.err));
@@ -85,10 +85,10 @@
     /**
      * Runs one command.
      *
-     * @param arguments see {@code --help}
-     * @param out where results go
-     * @param err where errors go
-     * @return the exit code
+     * @param arguments command and options, see {@code --help}
+     * @param out stream for results
+     * @param err stream for errors
+     * @return one of the constants of {@link ExitCode}
      */
     public static int run(List<String> arguments, PrintStream out, PrintStream err) {
         return new Parsleydrift(out, err).run(arguments);
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/Quickstart.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/Quickstart.java
@@ -9,8 +9,8 @@
 import org.parsleydrift.kernel.StepException;
 
 /**
- * The main job of {@code bin/quickstart}: submits the example manifest, runs a provenance debate and an intake
- * conversation, checks each answer token by token, and counts effects.
+ * Main class of {@code bin/quickstart}: submits the example manifest, runs two example programs, verifies their answers
+ * and counts tool effects that were executed more than once.
  */
 public final class Quickstart {
     private static final String DEBATE = "Who owned the hull of the Daesan in 1911? "
@@ -33,10 +33,10 @@
     }
 
     /**
-     * Runs the main job.
+     * Runs the example programs and exits with an {@link ExitCode}.
      *
-     * @param arguments entry addresses, manifest file, tool addresses; lists by commas
-     * @throws IOException if the manifest can't be read
+     * @param arguments entry addresses, manifest file and tool addresses; addresses are comma-separated
+     * @throws IOException if the manifest cannot be read
      */
     public static void main(String[] arguments) throws IOException {
         List<String> entries = List.of(arguments[0].split(",", -1));
