--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/CallerApi.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/CallerApi.java
@@ -193,7 +193,8 @@
     private static String requireText(JsonNode body, String field) {
         JsonNode value = body.path(field);
         if (!value.isTextual()) {
-            throw new StepException(Step.PARSE, "caller", "field " + field + " must be a text");
+            throw new StepException(
+                    Step.PARSE, "caller", "field " + field + " must be a string, got " + value.getNodeType());
         }
         return value.asText();
     }
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/DaemonSettings.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/DaemonSettings.java
@@ -61,7 +61,8 @@
         try {
             return parse(file.getFileName().toString(), Files.readString(file));
         } catch (IOException fault) {
-            throw new StepException(Step.CONFIGURE, file.toString(), "can't be read: " + fault.getMessage());
+            throw new StepException(
+                    Step.CONFIGURE, file.toString(), "cannot read settings file: " + fault.getMessage());
         }
     }
 
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpEngineClient.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpEngineClient.java
@@ -62,7 +62,8 @@
                     try {
                         return JsonDocument.MAPPER.readValue(answer.text(), new TypeReference<List<EngineMemory>>() {});
                     } catch (JsonProcessingException fault) {
-                        throw new CallException(Step.TURN, runner, CallFailure.FAILED, false, "bad memory list");
+                        throw new CallException(
+                                Step.TURN, runner, CallFailure.FAILED, false, "memory list is not valid JSON");
                     }
                 });
     }
@@ -117,7 +118,10 @@
                 JsonNode node = JsonDocument.MAPPER.readTree(json);
                 if (!request.streamId().equals(node.path("stream").asText())) {
                     // Accepting a line of another stream would mix the histories of two programs.
-                    fail(CallFailure.UNKNOWN, false, "line of another stream " + node.path("stream"));
+                    fail(
+                            CallFailure.UNKNOWN,
+                            false,
+                            "expected stream " + request.streamId() + ", got " + node.path("stream"));
                     call.cancel().run();
                 } else if (node.path("done").asBoolean()) {
                     finish(node);
@@ -127,14 +131,17 @@
                     tokens.accept(piece);
                 }
             } catch (JsonProcessingException fault) {
-                fail(CallFailure.UNKNOWN, false, "bad line");
+                fail(CallFailure.UNKNOWN, false, "stream line is not valid JSON");
                 call.cancel().run();
             }
         }
 
         private void finish(JsonNode node) {
             if (node.path("length").asInt() != text.length()) {
-                fail(CallFailure.UNKNOWN, false, "text of " + text.length() + " of " + node.path("length"));
+                fail(
+                        CallFailure.UNKNOWN,
+                        false,
+                        "stream truncated: got " + text.length() + " of " + node.path("length") + " characters");
                 return;
             }
             List<String> actions = new ArrayList<>();
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/ParsleydriftDaemon.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/ParsleydriftDaemon.java
@@ -118,7 +118,7 @@
         try {
             long limit = settings.timings().drainTimeout().toSeconds() * DRAIN_WAIT_FACTOR;
             if (!drained.await(limit, TimeUnit.SECONDS)) {
-                LOG.log(Logger.Level.WARNING, LogLine.of("drain_late").toString());
+                LOG.log(Logger.Level.WARNING, LogLine.of("drain_timeout").toString());
             }
         } catch (InterruptedException ended) {
             Thread.currentThread().interrupt();
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/AnswerCheck.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/AnswerCheck.java
@@ -17,10 +17,10 @@
      */
     public static String fault(String key, ProgramAnswer answer) {
         if (!answer.whole()) {
-            return "length " + answer.text().length() + " of " + answer.length();
+            return "answer truncated: got " + answer.text().length() + " of " + answer.length() + " characters";
         }
         if (answer.text().isEmpty()) {
-            return "nothing was said";
+            return "answer is empty";
         }
         int turn = 0;
         int position = 0;
@@ -30,7 +30,7 @@
             }
             String[] fields = token.split(":", FIELDS);
             if (fields.length != FIELDS || !fields[0].equals(key) || !"0".equals(fields[1])) {
-                return "token " + token + " is not of program " + key;
+                return "token " + token + " does not belong to program " + key;
             }
             int tokenTurn = Integer.parseInt(fields[2]);
             if (tokenTurn == turn + 1) {
@@ -38,7 +38,7 @@
                 position = 0;
             }
             if (tokenTurn != turn || Integer.parseInt(fields[3]) != position) {
-                return "token " + token + " where turn " + turn + " position " + position + " was due";
+                return "token " + token + " found, expected turn " + turn + " position " + position;
             }
             position++;
         }
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/AnswerReader.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/AnswerReader.java
@@ -55,7 +55,7 @@
             try {
                 handleEvent(JsonDocument.MAPPER.readTree(read.substring("data: ".length())));
             } catch (JsonProcessingException fault) {
-                throw new IllegalStateException("bad event " + read, fault);
+                throw new IllegalStateException("event data is not valid JSON: " + read, fault);
             }
         }
     }
@@ -81,7 +81,7 @@
 
     private void appendOutput(long offset, String piece) {
         if (offset != offset()) {
-            throw new IllegalStateException("piece at " + offset + " where " + offset() + " was due");
+            throw new IllegalStateException("output at offset " + offset + ", expected " + offset());
         }
         text.append(piece);
         progressed = true;
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/CallerClient.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/CallerClient.java
@@ -168,7 +168,12 @@
                 round = 0;
             }
         }
-        throw new CallerException(ExitCode.UNREACHABLE, Step.FORWARD, "entry", "the answer is cut", 0);
+        throw new CallerException(
+                ExitCode.UNREACHABLE,
+                Step.FORWARD,
+                "entry",
+                "answer incomplete after " + MAX_ATTEMPTS + " attempts without progress",
+                0);
     }
 
     @Override
@@ -181,7 +186,12 @@
         try {
             body = JsonDocument.MAPPER.readTree(answer.text().isBlank() ? "{}" : answer.text());
         } catch (JsonProcessingException fault) {
-            throw new CallerException(ExitCode.UNREACHABLE, Step.PARSE, address, "answer is not JSON", 0);
+            throw new CallerException(
+                    ExitCode.UNREACHABLE,
+                    Step.PARSE,
+                    address,
+                    "response is not valid JSON, status " + answer.status(),
+                    0);
         }
         if (answer.status() < 300) {
             return body;
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/Parsleydrift.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/Parsleydrift.java
@@ -24,18 +24,18 @@
             usage: parsleydrift [options] COMMAND
 
               manifest check FILE       check a manifest without submitting it
-              manifest submit FILE      submit a manifest; accepted whole or not at all
-              manifest show             print the manifest in force
-              status                    print what is in force on which node
-              entry                     print which address to use, and a ticket
+              manifest submit FILE      submit a manifest; applied atomically
+              manifest show             print the active manifest
+              status                    print the status of each node
+              entry                     print the assigned entry node and a ticket
               start AGENT PROMPT        start a program; prints its id
               send PROGRAM TEXT         send a message to a program
               watch PROGRAM             print a program's answer as it comes
               cancel PROGRAM            cancel a program
               call SERVICE JSON         call a plain service
-              explain PROGRAM           print where a program is and why
-              explain ID --log FILES    print the story of a request or program from logs of several processes
-              digest --log FILES        print by second and by cause what the entry processes of these logs decided
+              explain PROGRAM           print the state of a program
+              explain ID --log FILES    print the log lines that concern a request or program
+              digest --log FILES        print request outcomes by second and by cause
 
             exit codes: 0 done, 1 refused, 2 usage, 3 outcome unknown (safe to repeat with the same --key and
             --ticket), 4 no entry node answered
@@ -44,15 +44,16 @@
     private final PrintStream out;
     private final PrintStream err;
     private final OptionParser parser = new OptionParser();
-    private final OptionSpec<String> entryOption = parser.accepts("entry", "entry nodes, a list by commas")
+    private final OptionSpec<String> entryOption = parser.accepts("entry", "addresses of entry nodes, comma-separated")
             .withRequiredArg()
             .defaultsTo("127.0.0.1:8101");
     private final OptionSpec<String> teamOption =
             parser.accepts("team", "the caller's team").withRequiredArg().defaultsTo("default");
     private final OptionSpec<String> keyOption =
             parser.accepts("key", "the caller's key; a new one if absent").withRequiredArg();
-    private final OptionSpec<String> ticketOption =
-            parser.accepts("ticket", "the ticket of a first try, to repeat it").withRequiredArg();
+    private final OptionSpec<String> ticketOption = parser.accepts(
+                    "ticket", "the ticket of the first attempt, for a retry")
+            .withRequiredArg();
     private final OptionSpec<Long> offsetOption = parser.accepts("offset", "characters already read")
             .withRequiredArg()
             .ofType(Long.class)
@@ -62,7 +63,7 @@
             .ofType(Long.class)
             .defaultsTo(-1L);
     private final OptionSpec<String> logOption =
-            parser.accepts("log", "log files, a list by commas").withRequiredArg();
+            parser.accepts("log", "log files, comma-separated").withRequiredArg();
     private final OptionSpec<Void> jsonOption = parser.accepts("json", "print JSON");
     private final OptionSpec<Void> helpOption =
             parser.accepts("help", "print this").forHelp();
@@ -109,7 +110,7 @@
             err.println("parsleydrift: " + fault.getMessage());
             return ExitCode.USAGE;
         } catch (IndexOutOfBoundsException missing) {
-            err.println("parsleydrift: the command lacks an argument; see --help");
+            err.println("parsleydrift: missing argument; see --help");
             return ExitCode.USAGE;
         } catch (InvalidJsonException faults) {
             faults.errors().forEach(fault -> err.println(faults.peer() + ":" + fault));
@@ -151,7 +152,7 @@
                 case "explain" -> print(options, caller.call("GET", "/v1/programs/" + command.get(1), ""));
                 case "call" -> callService(options, caller, command.get(1), command.get(2));
                 default -> {
-                    err.println("parsleydrift: no command " + command.getFirst() + "; see --help");
+                    err.println("parsleydrift: unknown command " + command.getFirst() + "; see --help");
                     yield ExitCode.USAGE;
                 }
             };
@@ -161,7 +162,7 @@
     private int explain(String files, String id) throws IOException {
         List<LogTrace.Line> trace = new LogTrace(logLines(files)).of(id);
         if (trace.isEmpty()) {
-            err.println("parsleydrift: no line names " + id);
+            err.println("parsleydrift: no log line contains id " + id);
             return ExitCode.REFUSED;
         }
         trace.forEach(line -> out.println(line.source() + ": " + line.text()));
@@ -170,7 +171,7 @@
 
     private int digest(OptionSet options) throws IOException {
         if (!options.has(logOption)) {
-            err.println("parsleydrift: digest needs --log FILES");
+            err.println("parsleydrift: digest requires --log FILES");
             return ExitCode.USAGE;
         }
         List<LogTrace.Line> lines = logLines(options.valueOf(logOption));
@@ -205,7 +206,7 @@
                 yield ExitCode.OK;
             }
             default -> {
-                err.println("parsleydrift: no command manifest " + command.get(1) + "; see --help");
+                err.println("parsleydrift: unknown command manifest " + command.get(1) + "; see --help");
                 yield ExitCode.USAGE;
             }
         };
