--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpCallClient.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpCallClient.java
@@ -16,7 +16,7 @@
 import org.parsleydrift.wire.HttpException;
 import org.parsleydrift.wire.HttpRequestSpec;
 
-/** Tools and plain services over HTTP. Each call has a connection of its own: see {@link HttpRequestSpec#reuseConnection()}. */
+/** Calls tools and services over HTTP, on a new connection each; see {@link HttpRequestSpec#reuseConnection()}. */
 final class HttpCallClient implements CallClient {
     private final HttpClient client;
 
@@ -36,7 +36,7 @@
         return client.send(new HttpRequestSpec(upstream, "POST", "/v1/calls", body, timeout, false))
                 .handle((answer, failure) -> {
                     if (failure == null) {
-                        return good(upstream, answer);
+                        return requireSuccess(upstream, answer);
                     }
                     boolean sent =
                             !(StepException.unwrap(failure) instanceof HttpException known) || known.isPossiblySent();
@@ -49,7 +49,7 @@
                 });
     }
 
-    private static String good(String upstream, HttpClientResponse answer) {
+    private static String requireSuccess(String upstream, HttpClientResponse answer) {
         if (answer.status() == 200) {
             return answer.text();
         }
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpEngineClient.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/HttpEngineClient.java
@@ -28,11 +28,11 @@
 import org.parsleydrift.wire.HttpRequestSpec;
 import org.parsleydrift.wire.LineSplitter;
 
-/** Model engines over HTTP: a turn is a stream of JSON lines, each naming its stream; the last one ends it. */
+/** HTTP client of model engines. A turn is a stream of JSON lines with a stream id; the last has {@code done}. */
 final class HttpEngineClient implements EngineClient {
-    private static final Duration SILENCE = Duration.ofSeconds(4);
-    private static final Duration SHORT = Duration.ofSeconds(2);
-    private static final int RESUMES = 2;
+    private static final Duration STREAM_IDLE_TIMEOUT = Duration.ofSeconds(4);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
+    private static final int MAX_RESUMES = 2;
 
     private final HttpClient client;
 
@@ -51,29 +51,31 @@
     @Override
     public CompletableFuture<Void> release(String runner, String owner) {
         String target = "/v1/memory?owner=" + URLEncoder.encode(owner, StandardCharsets.UTF_8);
-        return client.send(HttpRequestSpec.of(runner, "DELETE", target, SHORT)).thenAccept(answer -> {});
+        return client.send(HttpRequestSpec.of(runner, "DELETE", target, REQUEST_TIMEOUT))
+                .thenAccept(answer -> {});
     }
 
     @Override
     public CompletableFuture<List<EngineMemory>> listMemory(String runner) {
-        return client.send(HttpRequestSpec.of(runner, "GET", "/v1/memory", SHORT))
+        return client.send(HttpRequestSpec.of(runner, "GET", "/v1/memory", REQUEST_TIMEOUT))
                 .thenApply(answer -> {
                     try {
                         return JsonDocument.MAPPER.readValue(answer.text(), new TypeReference<List<EngineMemory>>() {});
                     } catch (JsonProcessingException fault) {
-                        throw new CallException(Step.TURN, runner, CallFailure.FAILED, false, "bad memory list");
+                        throw new CallException(
+                                Step.TURN, runner, CallFailure.FAILED, false, "memory list is not valid JSON");
                     }
                 });
     }
 
-    /** One turn, over as many connections as it takes. Its state is guarded by itself. */
+    /** One turn, resumed on a new connection after a failure. Synchronized on itself. */
     private final class Turn {
         private final String runner;
         private final TurnRequest request;
         private final Consumer<String> tokens;
         private final CompletableFuture<TurnResult> done;
         private final StringBuilder text = new StringBuilder();
-        private final LineSplitter lines = new LineSplitter(this::takeLine);
+        private final LineSplitter lines = new LineSplitter(this::handleLine);
         private HttpCall call;
         private int resumes;
         private boolean cancelled;
@@ -93,8 +95,10 @@
             ObjectNode body = JsonDocument.MAPPER.valueToTree(request);
             body.put("skip", text.length());
             byte[] bytes = body.toString().getBytes(StandardCharsets.UTF_8);
-            call = client.stream(new HttpRequestSpec(runner, "POST", "/v1/turns", bytes, SILENCE, true), this::take);
-            call.response().whenComplete(this::closed);
+            call = client.stream(
+                    new HttpRequestSpec(runner, "POST", "/v1/turns", bytes, STREAM_IDLE_TIMEOUT, true),
+                    this::handleBytes);
+            call.response().whenComplete(this::onClosed);
         }
 
         private synchronized void cancel() {
@@ -102,19 +106,22 @@
             call.cancel().run();
         }
 
-        private synchronized void take(byte[] bytes) {
+        private synchronized void handleBytes(byte[] bytes) {
             lines.append(bytes);
         }
 
-        private void takeLine(String json) {
+        private void handleLine(String json) {
             if (done.isDone()) {
                 return;
             }
             try {
                 JsonNode node = JsonDocument.MAPPER.readTree(json);
                 if (!request.streamId().equals(node.path("stream").asText())) {
-                    // An answer crossed with another stream's: taking it would mix two programs' histories.
-                    fail(CallFailure.UNKNOWN, false, "line of another stream " + node.path("stream"));
+                    // Accepting a line of another stream would mix the histories of two programs.
+                    fail(
+                            CallFailure.UNKNOWN,
+                            false,
+                            "expected stream " + request.streamId() + ", got " + node.path("stream"));
                     call.cancel().run();
                 } else if (node.path("done").asBoolean()) {
                     finish(node);
@@ -124,14 +131,17 @@
                     tokens.accept(piece);
                 }
             } catch (JsonProcessingException fault) {
-                fail(CallFailure.UNKNOWN, false, "bad line");
+                fail(CallFailure.UNKNOWN, false, "stream line is not valid JSON");
                 call.cancel().run();
             }
         }
 
         private void finish(JsonNode node) {
             if (node.path("length").asInt() != text.length()) {
-                fail(CallFailure.UNKNOWN, false, "text of " + text.length() + " of " + node.path("length"));
+                fail(
+                        CallFailure.UNKNOWN,
+                        false,
+                        "stream truncated: got " + text.length() + " of " + node.path("length") + " characters");
                 return;
             }
             List<String> actions = new ArrayList<>();
@@ -144,7 +154,7 @@
                     node.path("output_tokens").asInt()));
         }
 
-        private synchronized void closed(HttpClientResponse answer, Throwable failure) {
+        private synchronized void onClosed(HttpClientResponse answer, Throwable failure) {
             if (done.isDone() || cancelled) {
                 return;
             }
@@ -154,8 +164,8 @@
                 return;
             }
             boolean sent = !(StepException.unwrap(failure) instanceof HttpException known) || known.isPossiblySent();
-            if (sent && resumes < RESUMES) {
-                // The connection was cut or fell silent; the engine goes on with the stream from where we are.
+            if (sent && resumes < MAX_RESUMES) {
+                // The connection failed or timed out; the engine resumes the stream at the length received.
                 resumes++;
                 open();
                 return;
--- a/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/ParsleydriftDaemon.java
+++ b/parsleydrift-daemon/src/main/java/org/parsleydrift/daemon/ParsleydriftDaemon.java
@@ -22,10 +22,10 @@
 import org.parsleydrift.wire.HttpServer;
 import org.parsleydrift.wire.NetworkThreads;
 
-/** The daemon: one on every entry VM. SIGTERM drains it. */
+/** The daemon process; one runs on each entry VM. SIGTERM drains it. */
 public final class ParsleydriftDaemon implements AutoCloseable {
     private static final Logger LOG = System.getLogger(ParsleydriftDaemon.class.getName());
-    private static final int USAGE = 2;
+    private static final int USAGE_EXIT_CODE = 2;
     private static final int DRAIN_WAIT_FACTOR = 4;
 
     private final DisruptorEventLoop loop;
@@ -36,18 +36,18 @@
     private final NodeSettings settings;
 
     /**
-     * Starts a daemon.
+     * Starts the node and its listeners.
      *
-     * @param settings its settings
+     * @param settings the settings of this daemon
      */
     public ParsleydriftDaemon(DaemonSettings settings) {
         this.settings = settings.nodeSettings();
         this.loop = new DisruptorEventLoop("node", new SystemClock());
         this.threads = new NetworkThreads("net", settings.networkThreads());
         PrometheusMeterRegistry meters = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-        AtomicReference<Node> made = new AtomicReference<>();
+        AtomicReference<Node> nodeReference = new AtomicReference<>();
         this.links = new MessagePackLinks(threads, host(settings.link()), port(settings.link()), loop, envelope -> {
-            Node receiver = made.get();
+            Node receiver = nodeReference.get();
             if (receiver != null) {
                 receiver.receive(envelope);
             }
@@ -63,15 +63,15 @@
                 links,
                 new java.security.SecureRandom(),
                 meters);
-        CountDownLatch begun = new CountDownLatch(1);
+        CountDownLatch nodeCreated = new CountDownLatch(1);
         loop.execute(() -> {
-            Node first = new Node(environment, this.settings);
-            first.setSeedPeers(settings.peers());
-            made.set(first);
-            begun.countDown();
+            Node created = new Node(environment, this.settings);
+            created.setSeedPeers(settings.peers());
+            nodeReference.set(created);
+            nodeCreated.countDown();
         });
-        await(begun);
-        this.node = made.get();
+        await(nodeCreated);
+        this.node = nodeReference.get();
         this.server = new HttpServer(
                 threads,
                 host(settings.http()),
@@ -89,14 +89,14 @@
     }
 
     /**
-     * Runs a daemon until it is told to end.
+     * Runs the daemon until the process is terminated.
      *
-     * @param arguments the settings file
+     * @param arguments the path of the settings file
      */
     public static void main(String[] arguments) {
         if (arguments.length != 1 || arguments[0].startsWith("-")) {
             System.err.println("usage: parsleydriftd SETTINGS.json");
-            System.exit(arguments.length == 1 && "--help".equals(arguments[0]) ? 0 : USAGE);
+            System.exit(arguments.length == 1 && "--help".equals(arguments[0]) ? 0 : USAGE_EXIT_CODE);
             return;
         }
         try {
@@ -111,14 +111,14 @@
         }
     }
 
-    /** Hands all programs over and waits until no caller waits here, within limits. */
+    /** Hands over all programs and waits for pending callers, at most a multiple of the drain timeout. */
     public void drain() {
         CountDownLatch drained = new CountDownLatch(1);
         loop.execute(() -> node.drain().whenComplete((done, failure) -> drained.countDown()));
         try {
             long limit = settings.timings().drainTimeout().toSeconds() * DRAIN_WAIT_FACTOR;
             if (!drained.await(limit, TimeUnit.SECONDS)) {
-                LOG.log(Logger.Level.WARNING, LogLine.of("drain_late").toString());
+                LOG.log(Logger.Level.WARNING, LogLine.of("drain_timeout").toString());
             }
         } catch (InterruptedException ended) {
             Thread.currentThread().interrupt();
--- a/parsleydrift-tools/src/main/java/org/parsleydrift/tools/Quickstart.java
+++ b/parsleydrift-tools/src/main/java/org/parsleydrift/tools/Quickstart.java
@@ -9,8 +9,8 @@
 import org.parsleydrift.kernel.StepException;
 
 /**
- * The main job of {@code bin/quickstart}: submits the example manifest, runs a provenance debate and an intake
- * conversation, checks each answer token by token, and counts effects.
+ * Main class of {@code bin/quickstart}: submits the example manifest, runs two example programs, verifies their answers
+ * and counts tool effects that were executed more than once.
  */
 public final class Quickstart {
     private static final String DEBATE = "Who owned the hull of the Daesan in 1911? "
@@ -33,10 +33,10 @@
     }
 
     /**
-     * Runs the main job.
+     * Runs the example programs and exits with an {@link ExitCode}.
      *
-     * @param arguments entry addresses, manifest file, tool addresses; lists by commas
-     * @throws IOException if the manifest can't be read
+     * @param arguments entry addresses, manifest file and tool addresses; addresses are comma-separated
+     * @throws IOException if the manifest cannot be read
      */
     public static void main(String[] arguments) throws IOException {
         List<String> entries = List.of(arguments[0].split(",", -1));
@@ -60,9 +60,9 @@
         caller.send(intake, "reply-1", "It is at number 12, the water is up to the door.");
         show("debate-1", debate);
         show("intake-1", intake);
-        long doubled = doubledEffects();
-        System.out.println("quickstart programs=2 complete=" + complete + " duplicated_effects=" + doubled);
-        return complete == 2 && doubled == 0 ? ExitCode.OK : ExitCode.REFUSED;
+        long duplicated = countDuplicatedEffects();
+        System.out.println("quickstart programs=2 complete=" + complete + " duplicated_effects=" + duplicated);
+        return complete == 2 && duplicated == 0 ? ExitCode.OK : ExitCode.REFUSED;
     }
 
     private String start(String team, String key, String agent, String prompt) {
@@ -82,7 +82,7 @@
         }
     }
 
-    private long doubledEffects() {
+    private long countDuplicatedEffects() {
         return tools.stream()
                 .mapToLong(tool -> {
                     try (CallerClient direct = new CallerClient(List.of(tool))) {
