--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/CuttableObjectStore.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/DisconnectableObjectStore.java
@@ -9,60 +9,60 @@
 import org.parsleydrift.kernel.platform.VmEntry;
 
 /** The platform as one node reaches it: while the way is cut, nothing is sent and nothing is answered. */
-final class CuttableObjectStore implements ObjectStore {
+final class DisconnectableObjectStore implements ObjectStore {
     /** The platform's end of a way in {@link FleetNetwork}. */
     static final String PLATFORM = "platform";
 
     private final Fleet fleet;
     private final String vm;
 
-    CuttableObjectStore(Fleet fleet, String vm) {
+    DisconnectableObjectStore(Fleet fleet, String vm) {
         this.fleet = fleet;
         this.vm = vm;
     }
 
     @Override
     public CompletableFuture<Optional<StoredObject>> read(String key) {
-        return through(() -> fleet.store().read(key));
+        return callIfReachable(() -> fleet.store().read(key));
     }
 
     @Override
     public CompletableFuture<Long> create(String key, byte[] value) {
-        return through(() -> fleet.store().create(key, value));
+        return callIfReachable(() -> fleet.store().create(key, value));
     }
 
     @Override
     public CompletableFuture<Long> update(String key, long version, byte[] value) {
-        return through(() -> fleet.store().update(key, version, value));
+        return callIfReachable(() -> fleet.store().update(key, version, value));
     }
 
     @Override
     public CompletableFuture<Void> delete(String key) {
-        return through(() -> fleet.store().delete(key));
+        return callIfReachable(() -> fleet.store().delete(key));
     }
 
     @Override
     public CompletableFuture<List<StoredObject>> list(String prefix) {
-        return through(() -> fleet.store().list(prefix));
+        return callIfReachable(() -> fleet.store().list(prefix));
     }
 
     @Override
     public CompletableFuture<Optional<StoredObject>> watch(String key, long afterVersion) {
-        return through(() -> fleet.store().watch(key, afterVersion));
+        return callIfReachable(() -> fleet.store().watch(key, afterVersion));
     }
 
     @Override
     public CompletableFuture<List<VmEntry>> listVms() {
-        return through(() -> fleet.store().listVms());
+        return callIfReachable(() -> fleet.store().listVms());
     }
 
-    private <T> CompletableFuture<T> through(Supplier<CompletableFuture<T>> request) {
-        if (!fleet.network().passes(vm, PLATFORM)) {
+    private <T> CompletableFuture<T> callIfReachable(Supplier<CompletableFuture<T>> request) {
+        if (!fleet.network().isReachable(vm, PLATFORM)) {
             return new CompletableFuture<>();
         }
         CompletableFuture<T> answer = new CompletableFuture<>();
         request.get().whenComplete((value, failure) -> {
-            if (!fleet.network().passes(vm, PLATFORM)) {
+            if (!fleet.network().isReachable(vm, PLATFORM)) {
                 return;
             }
             if (failure == null) {
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FaultInjector.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FaultInjector.java
@@ -20,7 +20,7 @@
     private final Set<FaultKind> kinds;
     private final SplittableRandom random;
     private final Map<FaultKind, Integer> counts = new EnumMap<>(FaultKind.class);
-    private int platformFaults;
+    private int platformFaultCount;
     private boolean stopped;
 
     FaultInjector(Fleet fleet, Set<FaultKind> kinds) {
@@ -33,19 +33,19 @@
         return counts;
     }
 
-    void begin(Duration meanPause) {
+    void scheduleNext(Duration meanPause) {
         if (stopped || kinds.isEmpty()) {
             return;
         }
         Duration pause = Duration.ofMillis(1 + random.nextLong(2 * meanPause.toMillis()));
-        fleet.outside().schedule(pause, () -> {
+        fleet.externalLoop().schedule(pause, () -> {
             if (!stopped) {
                 List<FaultKind> all = List.copyOf(kinds);
                 FaultKind kind = all.get(random.nextInt(all.size()));
                 if (inject(kind)) {
                     counts.merge(kind, 1, Integer::sum);
                 }
-                begin(meanPause);
+                scheduleNext(meanPause);
             }
         });
     }
@@ -61,49 +61,52 @@
             case NODE_DRAINED -> drainNode();
             case LINK_SILENT -> silenceLink();
             case LINK_CUT ->
-                cut(anyNode().settings().link(), anyNode().settings().link(), true);
-            case PLATFORM_CUT -> cut(anyNode().settings().vm(), CuttableObjectStore.PLATFORM, false);
-            case PLATFORM_OUTAGE -> platform(new PlatformFaults(true, 0, 0, false, 0));
-            case PLATFORM_SLOW -> platform(new PlatformFaults(false, 1900, 0, false, 0));
-            case PLATFORM_ANSWERS_LOST -> platform(new PlatformFaults(false, 0, 0.3, true, 0));
+                cutRoute(randomNode().settings().link(), randomNode().settings().link(), true);
+            case PLATFORM_CUT -> cutRoute(randomNode().settings().vm(), DisconnectableObjectStore.PLATFORM, false);
+            case PLATFORM_OUTAGE -> injectPlatformFault(new PlatformFaults(true, 0, 0, false, 0));
+            case PLATFORM_SLOW -> injectPlatformFault(new PlatformFaults(false, 1900, 0, false, 0));
+            case PLATFORM_ANSWERS_LOST -> injectPlatformFault(new PlatformFaults(false, 0, 0.3, true, 0));
             case ENGINE_CRASHED -> crashEngine();
-            case ENGINE_LEAVING -> engine(new EngineFaults(true, false, 0));
-            case ENGINE_BREAKS -> engine(new EngineFaults(false, false, 0.3));
+            case ENGINE_LEAVING -> injectEngineFault(new EngineFaults(true, false, 0));
+            case ENGINE_BREAKS -> injectEngineFault(new EngineFaults(false, false, 0.3));
             case ENGINE_CUT ->
-                cut(anyNode().settings().vm(), any(List.copyOf(fleet.engines().keySet())), false);
-            case TOOL_ANSWERS_LOST -> tool(new ToolFaults(false, false, 0.5));
-            case TOOL_LEAVING -> tool(new ToolFaults(true, false, 0));
-            case MANIFEST_RACE -> raceManifests();
+                cutRoute(
+                        randomNode().settings().vm(),
+                        randomElement(List.copyOf(fleet.engines().keySet())),
+                        false);
+            case TOOL_ANSWERS_LOST -> injectToolFault(new ToolFaults(false, false, 0.5));
+            case TOOL_LEAVING -> injectToolFault(new ToolFaults(true, false, 0));
+            case MANIFEST_RACE -> submitConcurrentManifests();
         };
     }
 
     private boolean killNode() {
-        FleetNode node = anyNode();
-        if (settled() <= MIN_LIVE || node.draining()) {
+        FleetNode node = randomNode();
+        if (activeNodeCount() <= MIN_LIVE || node.isDraining()) {
             return false;
         }
         node.kill();
-        fleet.outside().schedule(seconds(1, 6), node::start);
+        fleet.externalLoop().schedule(seconds(1, 6), node::start);
         return true;
     }
 
     private boolean pauseNode() {
-        FleetNode node = anyNode();
-        if (node.frozen()) {
+        FleetNode node = randomNode();
+        if (node.isPaused()) {
             return false;
         }
-        node.freeze();
-        fleet.outside().schedule(seconds(0, 8), () -> {
-            if (node.alive() && node.frozen()) {
-                node.thaw();
+        node.pause();
+        fleet.externalLoop().schedule(seconds(0, 8), () -> {
+            if (node.isAlive() && node.isPaused()) {
+                node.resume();
             }
         });
         return true;
     }
 
     private boolean drainNode() {
-        FleetNode node = anyNode();
-        if (settled() <= MIN_LIVE || node.draining() || node.frozen()) {
+        FleetNode node = randomNode();
+        if (activeNodeCount() <= MIN_LIVE || node.isDraining() || node.isPaused()) {
             return false;
         }
         fleet.addNode();
@@ -113,26 +116,26 @@
 
     private boolean silenceLink() {
         fleet.network()
-                .silence(anyNode().settings().link(), anyNode().settings().link());
+                .silence(randomNode().settings().link(), randomNode().settings().link());
         return true;
     }
 
-    private boolean cut(String from, String to, boolean bothWays) {
+    private boolean cutRoute(String from, String to, boolean bothWays) {
         fleet.network().cut(from, to, true);
         fleet.network().cut(to, from, bothWays);
-        fleet.outside().schedule(seconds(0, 6), () -> {
+        fleet.externalLoop().schedule(seconds(0, 6), () -> {
             fleet.network().cut(from, to, false);
             fleet.network().cut(to, from, false);
         });
         return true;
     }
 
-    private boolean platform(PlatformFaults faults) {
-        platformFaults++;
-        int mine = platformFaults;
+    private boolean injectPlatformFault(PlatformFaults faults) {
+        platformFaultCount++;
+        int faultNumber = platformFaultCount;
         fleet.store().faults(faults);
-        fleet.outside().schedule(seconds(1, 10), () -> {
-            if (mine == platformFaults) {
+        fleet.externalLoop().schedule(seconds(1, 10), () -> {
+            if (faultNumber == platformFaultCount) {
                 fleet.store().faults(PlatformFaults.NONE);
             }
         });
@@ -140,45 +143,45 @@
     }
 
     private boolean crashEngine() {
-        StandInEngine engine = any(List.copyOf(fleet.engines().values()));
+        StandInEngine engine = randomElement(List.copyOf(fleet.engines().values()));
         engine.crash();
-        fleet.outside().schedule(seconds(0, 3), engine::restart);
+        fleet.externalLoop().schedule(seconds(0, 3), engine::restart);
         return true;
     }
 
-    private boolean engine(EngineFaults faults) {
-        StandInEngine engine = any(List.copyOf(fleet.engines().values()));
+    private boolean injectEngineFault(EngineFaults faults) {
+        StandInEngine engine = randomElement(List.copyOf(fleet.engines().values()));
         engine.faults(faults);
-        fleet.outside().schedule(seconds(1, 5), () -> engine.faults(EngineFaults.NONE));
+        fleet.externalLoop().schedule(seconds(1, 5), () -> engine.faults(EngineFaults.NONE));
         return true;
     }
 
-    private boolean tool(ToolFaults faults) {
-        StandInTool tool = any(List.copyOf(fleet.tools().values()));
+    private boolean injectToolFault(ToolFaults faults) {
+        StandInTool tool = randomElement(List.copyOf(fleet.tools().values()));
         tool.faults(faults);
-        fleet.outside().schedule(seconds(1, 5), () -> tool.faults(ToolFaults.NONE));
+        fleet.externalLoop().schedule(seconds(1, 5), () -> tool.faults(ToolFaults.NONE));
         return true;
     }
 
-    private boolean raceManifests() {
-        fleet.live()
+    private boolean submitConcurrentManifests() {
+        fleet.liveNodes()
                 .forEach(node -> node.run(() -> node.node()
                         .submitManifest(fleet.manifest(32 + random.nextInt(64)), -1)
-                        .exceptionally(lostTheRace -> null)));
+                        .exceptionally(conflict -> null)));
         return true;
     }
 
-    private long settled() {
-        return fleet.live().stream()
-                .filter(node -> !node.draining() && !node.frozen())
+    private long activeNodeCount() {
+        return fleet.liveNodes().stream()
+                .filter(node -> !node.isDraining() && !node.isPaused())
                 .count();
     }
 
-    private FleetNode anyNode() {
-        return any(fleet.live());
+    private FleetNode randomNode() {
+        return randomElement(fleet.liveNodes());
     }
 
-    private <T> T any(List<T> all) {
+    private <T> T randomElement(List<T> all) {
         return all.get(random.nextInt(all.size()));
     }
 
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/Fleet.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/Fleet.java
@@ -29,7 +29,7 @@
 
     private final ManualScheduler scheduler = new ManualScheduler();
     private final SplittableRandom random;
-    private final ManualEventLoop outside;
+    private final ManualEventLoop externalLoop;
     private final InMemoryObjectStore store;
     private final Map<String, StandInEngine> engines = new LinkedHashMap<>();
     private final Map<String, StandInTool> tools = new LinkedHashMap<>();
@@ -44,17 +44,17 @@
      */
     public Fleet(FleetOptions options) {
         this.random = new SplittableRandom(options.seed());
-        this.outside = scheduler.newLoop();
-        this.store = new InMemoryObjectStore(outside, random.split(), STORE_LATENCY);
+        this.externalLoop = scheduler.newLoop();
+        this.store = new InMemoryObjectStore(externalLoop, random.split(), STORE_LATENCY);
         this.network = new FleetNetwork(scheduler, this);
         IntStream.range(0, options.engines())
                 .mapToObj(i -> "10.0.1." + (i + 1) + ":80")
                 .forEach(address ->
-                        engines.put(address, new StandInEngine(address, outside, random.split(), ENGINE_SPEED)));
+                        engines.put(address, new StandInEngine(address, externalLoop, random.split(), ENGINE_SPEED)));
         IntStream.range(0, options.tools())
                 .mapToObj(i -> "10.0.2." + (i + 1) + ":80")
-                .forEach(
-                        address -> tools.put(address, new StandInTool(address, outside, random.split(), TOOL_LATENCY)));
+                .forEach(address ->
+                        tools.put(address, new StandInTool(address, externalLoop, random.split(), TOOL_LATENCY)));
         IntStream.range(0, options.nodes()).forEach(i -> addNode());
     }
 
@@ -107,11 +107,11 @@
      * @param text the manifest
      */
     public void submit(String text) {
-        FleetNode first = live().getFirst();
+        FleetNode first = liveNodes().getFirst();
         first.run(() -> first.node().submitManifest(text, -1));
         awaitTrue(
                 Duration.ofSeconds(30),
-                () -> live().stream().allMatch(node -> node.node().isReady()));
+                () -> liveNodes().stream().allMatch(node -> node.node().isReady()));
     }
 
     /**
@@ -163,8 +163,8 @@
      *
      * @return the loop
      */
-    public ManualEventLoop outside() {
-        return outside;
+    public ManualEventLoop externalLoop() {
+        return externalLoop;
     }
 
     /**
@@ -217,7 +217,7 @@
      *
      * @return the nodes
      */
-    public List<FleetNode> live() {
-        return nodes.stream().filter(FleetNode::alive).toList();
+    public List<FleetNode> liveNodes() {
+        return nodes.stream().filter(FleetNode::isAlive).toList();
     }
 }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetCaller.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetCaller.java
@@ -15,21 +15,21 @@
  * again with the same key wherever a connection breaks. It checks each piece that it gets.
  */
 public final class FleetCaller {
-    private static final Duration PAUSE = Duration.ofMillis(200);
-    private static final Duration SILENCE = Duration.ofSeconds(5);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(200);
+    private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(5);
 
     private final Fleet fleet;
     private final String key;
     private final String agent;
     private final String prompt;
-    private final int messages;
+    private final int messageCount;
     private final StringBuilder text = new StringBuilder();
     private ProgramId id;
     private FleetNode connectedTo;
-    private Runnable connection = () -> {};
+    private Runnable closeConnection = () -> {};
     private int attempt;
     private int messagesSent;
-    private boolean handed;
+    private boolean startSent;
     private boolean started;
     private boolean closed;
     private ProgramAnswer answer;
@@ -55,15 +55,15 @@
         this.key = key;
         this.agent = agent;
         this.prompt = prompt;
-        this.messages = messages;
+        this.messageCount = messages;
     }
 
     /** Begins. */
     public void begin() {
         startedNanos = fleet.scheduler().nanos();
         lastReplyNanos = startedNanos;
-        askEntry();
-        watch();
+        requestEntryNode();
+        watchConnection();
     }
 
     /**
@@ -71,7 +71,7 @@
      *
      * @return true with an answer or a final refusal
      */
-    public boolean done() {
+    public boolean isDone() {
         return answer != null || refusal != null;
     }
 
@@ -125,7 +125,7 @@
      *
      * @return what is wrong, or an empty text
      */
-    public String fault() {
+    public String describeFault() {
         if (answer == null) {
             return "no answer" + (refusal == null ? "" : ": " + refusal);
         }
@@ -134,21 +134,21 @@
                 : "end " + answer.end() + " " + answer.detail();
     }
 
-    private void askEntry() {
+    private void requestEntryNode() {
         if (closed) {
             return;
         }
-        List<FleetNode> up = fleet.live();
-        if (up.isEmpty()) {
-            later(this::askEntry);
+        List<FleetNode> liveNodes = fleet.liveNodes();
+        if (liveNodes.isEmpty()) {
+            scheduleRetry(this::requestEntryNode);
             return;
         }
-        FleetNode node = up.get(fleet.random().nextInt(up.size()));
+        FleetNode node = liveNodes.get(fleet.random().nextInt(liveNodes.size()));
         connectedTo = node;
-        connection.run();
-        int mine = ++attempt;
+        closeConnection.run();
+        int requestAttempt = ++attempt;
         node.run(() -> {
-            if (mine != attempt) {
+            if (requestAttempt != attempt) {
                 return;
             }
             if (id == null) {
@@ -158,40 +158,40 @@
                         .ifPresent(ticket -> id = ProgramId.parse(ticket + "~team~" + key));
             }
             if (id == null) {
-                later(this::askEntry);
+                scheduleRetry(this::requestEntryNode);
             } else {
-                proceed(node, mine);
+                sendNextRequest(node, requestAttempt);
             }
         });
     }
 
-    private void proceed(FleetNode node, int mine) {
+    private void sendNextRequest(FleetNode node, int requestAttempt) {
         CallerRequest next;
         if (!started) {
-            next = new CallerRequest.Start(id, agent, prompt, !handed);
-            handed = true;
-        } else if (messagesSent < messages) {
+            next = new CallerRequest.Start(id, agent, prompt, !startSent);
+            startSent = true;
+        } else if (messagesSent < messageCount) {
             next = new CallerRequest.Send(id, "message" + messagesSent, "text " + messagesSent);
         } else {
             next = new CallerRequest.Attach(id, text.length());
         }
         Runnable cancel = node.node().open(next, reply -> {
-            if (mine == attempt && !closed) {
+            if (requestAttempt == attempt && !closed) {
                 lastReplyNanos = fleet.scheduler().nanos();
-                take(node, mine, reply);
+                handleReply(node, requestAttempt, reply);
             }
         });
-        connection = () -> node.run(cancel);
+        closeConnection = () -> node.run(cancel);
     }
 
-    private void take(FleetNode node, int mine, CallerReply reply) {
+    private void handleReply(FleetNode node, int requestAttempt, CallerReply reply) {
         switch (reply) {
             case CallerReply.Accepted ignored -> {
                 if (started) {
                     messagesSent++;
                 }
                 started = true;
-                node.run(() -> proceed(node, mine));
+                node.run(() -> sendNextRequest(node, requestAttempt));
             }
             case CallerReply.Output output -> {
                 if (output.offset() != text.length()) {
@@ -206,7 +206,7 @@
                         ended.end().name().toLowerCase(java.util.Locale.ROOT),
                         ended.detail(),
                         ended.length()));
-            case CallerReply.Refused refused -> refused(refused);
+            case CallerReply.Refused refused -> handleRefusal(refused);
             case CallerReply.Answer ignored -> finish(new ProgramAnswer("", "complete", "", 0));
             case CallerReply.Explained ignored -> throw new AssertionError("not asked for");
             case CallerReply.Moved ignored -> throw new AssertionError("a caller must not see this");
@@ -216,22 +216,22 @@
         }
     }
 
-    private void refused(CallerReply.Refused refused) {
+    private void handleRefusal(CallerReply.Refused refused) {
         if (refused.kind() == RefusalKind.NOT_RUN && !started) {
             // Believes it, and never asks again: nothing of the program may be found anywhere.
             refusal = refused;
             close();
         } else if (refused.retryAfterMillis() > 0) {
             attempt++;
-            later(this::askEntry);
+            scheduleRetry(this::requestEntryNode);
         } else {
             refusal = refused;
             close();
         }
     }
 
-    private void finish(ProgramAnswer whole) {
-        answer = whole;
+    private void finish(ProgramAnswer completeAnswer) {
+        answer = completeAnswer;
         close();
     }
 
@@ -241,20 +241,20 @@
     }
 
     /** A caller's own look at its connection: a node that died or fell silent is left for another. */
-    private void watch() {
+    private void watchConnection() {
         if (closed) {
             return;
         }
-        boolean broken = connectedTo != null && !connectedTo.alive();
-        boolean silent = fleet.scheduler().nanos() - lastReplyNanos > SILENCE.toNanos();
+        boolean broken = connectedTo != null && !connectedTo.isAlive();
+        boolean silent = fleet.scheduler().nanos() - lastReplyNanos > IDLE_TIMEOUT.toNanos();
         if (broken || silent) {
             lastReplyNanos = fleet.scheduler().nanos();
-            askEntry();
+            requestEntryNode();
         }
-        fleet.outside().schedule(PAUSE, this::watch);
+        fleet.externalLoop().schedule(RETRY_DELAY, this::watchConnection);
     }
 
-    private void later(Runnable task) {
-        fleet.outside().schedule(PAUSE, task);
+    private void scheduleRetry(Runnable task) {
+        fleet.externalLoop().schedule(RETRY_DELAY, task);
     }
 }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetNetwork.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetNetwork.java
@@ -12,15 +12,15 @@
 public final class FleetNetwork {
     private static final Duration DELAY = Duration.ofMillis(1);
 
-    private final ManualEventLoop wire;
+    private final ManualEventLoop loop;
     private final Fleet fleet;
     private final Set<String> silentConnections = new HashSet<>();
-    private final Set<String> cutWays = new HashSet<>();
+    private final Set<String> cutRoutes = new HashSet<>();
     private long frames;
     private long bytes;
 
     FleetNetwork(ManualScheduler scheduler, Fleet fleet) {
-        this.wire = scheduler.newLoop();
+        this.loop = scheduler.newLoop();
         this.fleet = fleet;
     }
 
@@ -53,15 +53,15 @@
      */
     public void cut(String from, String to, boolean cut) {
         if (cut) {
-            cutWays.add(from + ">" + to);
+            cutRoutes.add(from + ">" + to);
         } else {
-            cutWays.remove(from + ">" + to);
+            cutRoutes.remove(from + ">" + to);
         }
     }
 
     /** Heals all ways. */
     public void heal() {
-        cutWays.clear();
+        cutRoutes.clear();
     }
 
     /**
@@ -71,8 +71,8 @@
      * @param to the other end
      * @return false if it is lost
      */
-    public boolean passes(String from, String to) {
-        return !silentConnections.contains(from + ">" + to) && !cutWays.contains(from + ">" + to);
+    public boolean isReachable(String from, String to) {
+        return !silentConnections.contains(from + ">" + to) && !cutRoutes.contains(from + ">" + to);
     }
 
     /**
@@ -97,12 +97,12 @@
         byte[] frame = MessagePackCodec.encode(envelope);
         frames++;
         bytes += frame.length;
-        if (!passes(from, to)) {
+        if (!isReachable(from, to)) {
             return;
         }
-        wire.schedule(
+        loop.schedule(
                 DELAY,
-                () -> fleet.live().stream()
+                () -> fleet.liveNodes().stream()
                         .filter(node -> node.settings().link().equals(to))
                         .findFirst()
                         .ifPresent(node -> node.receive(MessagePackCodec.decode(frame, PeerEnvelope.class, from))));
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetNode.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetNode.java
@@ -17,9 +17,9 @@
     private Node node;
     private FleetUpstreams upstreams;
     private boolean alive;
-    private boolean frozen;
+    private boolean paused;
     private boolean draining;
-    private long generationSeen;
+    private long highestGeneration;
 
     FleetNode(Fleet fleet, NodeSettings settings) {
         this.fleet = fleet;
@@ -30,7 +30,7 @@
         loop = fleet.scheduler().newLoop();
         upstreams = new FleetUpstreams(fleet, settings.vm());
         alive = true;
-        frozen = false;
+        paused = false;
         draining = false;
         PeerLinks links = new PeerLinks() {
             @Override
@@ -45,7 +45,7 @@
         };
         NodeEnvironment environment = new NodeEnvironment(
                 loop,
-                new CuttableObjectStore(fleet, settings.vm()),
+                new DisconnectableObjectStore(fleet, settings.vm()),
                 upstreams,
                 upstreams,
                 links,
@@ -62,14 +62,14 @@
     }
 
     /** The VM pauses; its connections stay open and silent. */
-    public void freeze() {
-        frozen = true;
+    public void pause() {
+        paused = true;
         loop.pause();
     }
 
     /** The VM goes on. */
-    public void thaw() {
-        frozen = false;
+    public void resume() {
+        paused = false;
         loop.resume();
     }
 
@@ -117,7 +117,7 @@
      *
      * @return true unless it was killed
      */
-    public boolean alive() {
+    public boolean isAlive() {
         return alive;
     }
 
@@ -126,8 +126,8 @@
      *
      * @return true between freeze and thaw
      */
-    public boolean frozen() {
-        return frozen;
+    public boolean isPaused() {
+        return paused;
     }
 
     /**
@@ -135,7 +135,7 @@
      *
      * @return true after SIGTERM
      */
-    public boolean draining() {
+    public boolean isDraining() {
         return draining;
     }
 
@@ -147,10 +147,10 @@
      */
     public void checkGeneration() {
         long now = node.manifest().generation();
-        if (now != 0 && now < generationSeen) {
-            throw new AssertionError(settings.vm() + " went back from generation " + generationSeen + " to " + now);
+        if (now != 0 && now < highestGeneration) {
+            throw new AssertionError(settings.vm() + " went back from generation " + highestGeneration + " to " + now);
         }
-        generationSeen = Math.max(now, generationSeen);
+        highestGeneration = Math.max(now, highestGeneration);
     }
 
     void receive(PeerEnvelope envelope) {
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetUpstreams.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetUpstreams.java
@@ -19,7 +19,7 @@
 /** One node's connections to engines, tools and services. */
 final class FleetUpstreams implements EngineClient, CallClient {
     private static final Duration DELAY = Duration.ofMillis(1);
-    private static final Duration SILENCE = Duration.ofSeconds(4);
+    private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(4);
 
     private final Fleet fleet;
     private final String vm;
@@ -40,15 +40,15 @@
             String runner, TurnRequest request, Consumer<String> tokens, CompletableFuture<TurnResult> done) {
         Stream stream = new Stream(runner, tokens, done);
         open.add(stream);
-        fleet.outside().schedule(DELAY, () -> stream.begin(request));
+        fleet.externalLoop().schedule(DELAY, () -> stream.begin(request));
         return stream::cancel;
     }
 
     @Override
     public CompletableFuture<Void> release(String runner, String owner) {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        if (fleet.network().passes(vm, runner)) {
-            fleet.outside().schedule(DELAY, () -> {
+        if (fleet.network().isReachable(vm, runner)) {
+            fleet.externalLoop().schedule(DELAY, () -> {
                 fleet.engines().get(runner).release(owner);
                 done.complete(null);
             });
@@ -59,8 +59,8 @@
     @Override
     public CompletableFuture<List<EngineMemory>> listMemory(String runner) {
         CompletableFuture<List<EngineMemory>> answer = new CompletableFuture<>();
-        if (fleet.network().passes(vm, runner)) {
-            fleet.outside()
+        if (fleet.network().isReachable(vm, runner)) {
+            fleet.externalLoop()
                     .schedule(
                             DELAY,
                             () -> answer.complete(fleet.engines().get(runner).memory()));
@@ -71,13 +71,13 @@
     @Override
     public CompletableFuture<String> call(String upstream, CallRequest request, Duration timeout) {
         CompletableFuture<String> answer = new CompletableFuture<>();
-        fleet.outside()
+        fleet.externalLoop()
                 .schedule(
                         timeout,
                         () -> answer.completeExceptionally(
                                 new CallException(Step.CALL, upstream, CallFailure.UNKNOWN, false, "no answer")));
-        if (fleet.network().passes(vm, upstream)) {
-            fleet.outside()
+        if (fleet.network().isReachable(vm, upstream)) {
+            fleet.externalLoop()
                     .schedule(
                             DELAY,
                             () -> fleet.tools().get(upstream).call(request).whenComplete((text, failure) -> {
@@ -96,7 +96,7 @@
         private final String runner;
         private final Consumer<String> tokens;
         private final CompletableFuture<TurnResult> done;
-        private Cancellable onEngine = () -> {};
+        private Cancellable engineTurn = () -> {};
         private long lastTokenNanos;
         private boolean closed;
         /** Once a piece is lost the connection stays silent: TCP does not go on behind a hole. */
@@ -114,11 +114,11 @@
             if (closed) {
                 return;
             }
-            watchSilence();
-            CompletableFuture<TurnResult> there = new CompletableFuture<>();
-            onEngine = fleet.engines().get(runner).turn(request, 0, this::token, there);
-            there.whenComplete((result, failure) -> {
-                if (closed || lost || !fleet.network().passes(vm, runner)) {
+            watchIdleTimeout();
+            CompletableFuture<TurnResult> engineResult = new CompletableFuture<>();
+            engineTurn = fleet.engines().get(runner).turn(request, 0, this::token, engineResult);
+            engineResult.whenComplete((result, failure) -> {
+                if (closed || lost || !fleet.network().isReachable(vm, runner)) {
                     return;
                 }
                 closed = true;
@@ -131,24 +131,24 @@
         }
 
         private void token(String text) {
-            lost |= !fleet.network().passes(vm, runner);
+            lost |= !fleet.network().isReachable(vm, runner);
             if (!closed && !lost) {
                 lastTokenNanos = fleet.scheduler().nanos();
                 tokens.accept(text);
             }
         }
 
-        private void watchSilence() {
-            fleet.outside().schedule(SILENCE.dividedBy(4), () -> {
+        private void watchIdleTimeout() {
+            fleet.externalLoop().schedule(IDLE_TIMEOUT.dividedBy(4), () -> {
                 if (closed) {
                     return;
                 }
-                if (fleet.scheduler().nanos() - lastTokenNanos > SILENCE.toNanos()) {
+                if (fleet.scheduler().nanos() - lastTokenNanos > IDLE_TIMEOUT.toNanos()) {
                     cancel();
                     done.completeExceptionally(
                             new CallException(Step.TURN, runner, CallFailure.UNKNOWN, false, "silent"));
                 } else {
-                    watchSilence();
+                    watchIdleTimeout();
                 }
             });
         }
@@ -156,7 +156,7 @@
         private void cancel() {
             closed = true;
             open.remove(this);
-            onEngine.cancel();
+            engineTurn.cancel();
         }
     }
 }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SlopesMain.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SlopesMain.java
@@ -11,9 +11,9 @@
  * slopes}. Costs are per node and virtual second; processor time is that of the whole process, stand-ins among it.
  */
 public final class SlopesMain {
-    private static final Duration SETTLE = Duration.ofSeconds(5);
-    private static final Duration SPAN = Duration.ofSeconds(20);
-    private static final int WAITING_LIMIT = 4000;
+    private static final Duration SETTLE_TIME = Duration.ofSeconds(5);
+    private static final Duration MEASUREMENT_TIME = Duration.ofSeconds(20);
+    private static final int MAX_WAITING_PROGRAMS = 4000;
 
     private SlopesMain() {}
 
@@ -27,7 +27,7 @@
         System.out.println("idle fleet, per node and second");
         List.of(3, 9, 27, 81).stream().filter(nodes -> !quick || nodes <= 27).forEach(SlopesMain::idle);
         System.out.println("programs that wait for a message, 3 nodes, per program");
-        List.of(0, 1000, WAITING_LIMIT).stream()
+        List.of(0, 1000, MAX_WAITING_PROGRAMS).stream()
                 .filter(count -> !quick || count <= 1000)
                 .forEach(SlopesMain::waiting);
         System.out.println("takeover of one of 9 nodes, virtual milliseconds until all its programs go on");
@@ -37,9 +37,9 @@
     private static void idle(int nodes) {
         Fleet fleet = fleet(nodes);
         Sample before = Sample.of(fleet);
-        fleet.advance(SPAN);
+        fleet.advance(MEASUREMENT_TIME);
         Sample cost = Sample.of(fleet).minus(before);
-        double per = nodes * (double) SPAN.toSeconds();
+        double per = nodes * (double) MEASUREMENT_TIME.toSeconds();
         System.out.printf(
                 "slopes idle nodes=%d frames=%.1f bytes=%.0f platform_reads=%.2f platform_writes=%.3f cpu_ms=%.2f%n",
                 nodes,
@@ -63,14 +63,14 @@
                 fleet.advance(Duration.ofMillis(50));
             }
         });
-        fleet.advance(SPAN);
+        fleet.advance(MEASUREMENT_TIME);
         Sample cost = Sample.of(fleet).minus(before);
         System.out.printf(
                 "slopes programs count=%d heap_bytes_each=%.0f platform_writes_each=%.3f open=%d%n",
                 count,
                 count == 0 ? 0 : (heapBytes() - heapBefore) / (double) count,
                 count == 0 ? 0 : cost.writes / (double) count,
-                callers.stream().filter(caller -> !caller.done()).count());
+                callers.stream().filter(caller -> !caller.isDone()).count());
     }
 
     private static void takeover(int programs) {
@@ -83,29 +83,29 @@
         });
         fleet.advance(Duration.ofSeconds(2));
         FleetNode dead = fleet.nodes().getFirst();
-        List<FleetCaller> stranded = callers.stream()
+        List<FleetCaller> affected = callers.stream()
                 .filter(caller -> dead.node().programs().containsKey(caller.id()))
                 .toList();
         dead.kill();
         long killedNanos = fleet.scheduler().nanos();
         List<Long> millis = new ArrayList<>();
-        List<FleetCaller> open = new ArrayList<>(stranded);
-        while (!open.isEmpty() && millis.size() < stranded.size()) {
+        List<FleetCaller> open = new ArrayList<>(affected);
+        while (!open.isEmpty() && millis.size() < affected.size()) {
             fleet.advance(Duration.ofMillis(10));
             long now = (fleet.scheduler().nanos() - killedNanos) / 1_000_000;
             open.removeIf(caller -> {
-                boolean goesOn =
-                        fleet.live().stream().anyMatch(node -> node.node().isRunning(caller.id()));
-                if (goesOn) {
+                boolean isResumed =
+                        fleet.liveNodes().stream().anyMatch(node -> node.node().isRunning(caller.id()));
+                if (isResumed) {
                     millis.add(now);
                 }
-                return goesOn || now > 60_000;
+                return isResumed || now > 60_000;
             });
         }
         millis.sort(null);
         System.out.printf(
                 "slopes takeover stranded=%d again=%d p50_ms=%d p99_ms=%d%n",
-                stranded.size(),
+                affected.size(),
                 millis.size(),
                 millis.get(millis.size() / 2),
                 millis.get(Math.min(millis.size() - 1, millis.size() * 99 / 100)));
@@ -113,9 +113,9 @@
 
     private static Fleet fleet(int nodes) {
         Fleet fleet = new Fleet(new FleetOptions(1, nodes, 6, 2));
-        fleet.advance(SETTLE);
+        fleet.advance(SETTLE_TIME);
         fleet.submit(fleet.manifest(32));
-        fleet.advance(SETTLE);
+        fleet.advance(SETTLE_TIME);
         return fleet;
     }
 
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/Soak.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/Soak.java
@@ -18,13 +18,13 @@
     private static final Duration STEP = Duration.ofMillis(100);
     private static final Duration MEAN_FAULT_PAUSE = Duration.ofMillis(400);
     private static final Duration SETTLE = Duration.ofSeconds(90);
-    private static final Duration STUCK = Duration.ofMinutes(3);
+    private static final Duration PROGRESS_TIMEOUT = Duration.ofMinutes(3);
     private static final int PROMPT_BUDGET_TOKENS = 4000;
 
     private final SoakOptions options;
     private final Fleet fleet;
     private final FaultInjector faults;
-    private final List<FleetCaller> open = new ArrayList<>();
+    private final List<FleetCaller> activeCallers = new ArrayList<>();
     private final Map<String, Integer> ends = new TreeMap<>();
     private final Map<String, FleetCaller> refusedNotRun = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
@@ -48,28 +48,28 @@
     public SoakReport run() {
         fleet.submit(fleet.manifest(64));
         PromptGenerator prompts = new PromptGenerator(fleet.random().split());
-        faults.begin(MEAN_FAULT_PAUSE);
+        faults.scheduleNext(MEAN_FAULT_PAUSE);
         int submitted = 0;
         long lastProgressNanos = fleet.scheduler().nanos();
-        while (submitted < options.programs() || !open.isEmpty()) {
-            while (submitted < options.programs() && open.size() < options.atOnce()) {
+        while (submitted < options.programs() || !activeCallers.isEmpty()) {
+            while (submitted < options.programs() && activeCallers.size() < options.maxConcurrent()) {
                 submitted++;
                 FleetCaller caller = new FleetCaller(fleet, "p" + submitted, prompts.next(), prompts.messages());
-                open.add(caller);
+                activeCallers.add(caller);
                 caller.begin();
             }
             fleet.advance(STEP);
-            fleet.live().forEach(FleetNode::checkGeneration);
-            if (collect() > 0) {
+            fleet.liveNodes().forEach(FleetNode::checkGeneration);
+            if (collectFinished() > 0) {
                 lastProgressNanos = fleet.scheduler().nanos();
             }
-            if (fleet.scheduler().nanos() - lastProgressNanos > STUCK.toNanos()) {
-                open.forEach(caller -> violations.add("stuck: " + caller.id()));
+            if (fleet.scheduler().nanos() - lastProgressNanos > PROGRESS_TIMEOUT.toNanos()) {
+                activeCallers.forEach(caller -> violations.add("stuck: " + caller.id()));
                 break;
             }
         }
         long virtual = fleet.scheduler().nanos();
-        settle();
+        removeFaults();
         checkAfterwards();
         return new SoakReport(
                 options.seed(),
@@ -77,7 +77,7 @@
                 ends,
                 faults.counts(),
                 effects().values().stream().mapToLong(each -> each).sum(),
-                fleet.live().stream()
+                fleet.liveNodes().stream()
                         .flatMap(node -> node.node().programs().values().stream())
                         .mapToLong(state -> state.unknown().size())
                         .sum(),
@@ -95,14 +95,15 @@
         return fleet;
     }
 
-    private int collect() {
-        List<FleetCaller> done = open.stream().filter(FleetCaller::done).toList();
-        open.removeAll(done);
-        done.forEach(this::judge);
+    private int collectFinished() {
+        List<FleetCaller> done =
+                activeCallers.stream().filter(FleetCaller::isDone).toList();
+        activeCallers.removeAll(done);
+        done.forEach(this::recordResult);
         return done.size();
     }
 
-    private void judge(FleetCaller caller) {
+    private void recordResult(FleetCaller caller) {
         if (caller.refusal() != null) {
             ends.merge("refused_" + caller.refusal().kind().name().toLowerCase(java.util.Locale.ROOT), 1, Integer::sum);
             if (caller.refusal().kind() == RefusalKind.NOT_RUN) {
@@ -113,21 +114,21 @@
             return;
         }
         ends.merge(caller.answer().end(), 1, Integer::sum);
-        if ("complete".equals(caller.answer().end()) && !caller.fault().isEmpty()) {
-            violations.add("answer: " + caller.id() + " " + caller.fault());
+        if ("complete".equals(caller.answer().end()) && !caller.describeFault().isEmpty()) {
+            violations.add("answer: " + caller.id() + " " + caller.describeFault());
         }
         if (Set.of("failed", "loop", "cancelled").contains(caller.answer().end())) {
-            violations.add("end: " + caller.id() + " " + caller.fault());
+            violations.add("end: " + caller.id() + " " + caller.describeFault());
         }
     }
 
-    private void settle() {
+    private void removeFaults() {
         faults.stop();
         fleet.network().heal();
         fleet.store().faults(PlatformFaults.NONE);
         fleet.engines().values().forEach(engine -> engine.faults(EngineFaults.NONE));
         fleet.tools().values().forEach(tool -> tool.faults(ToolFaults.NONE));
-        fleet.live().stream().filter(FleetNode::frozen).forEach(FleetNode::thaw);
+        fleet.liveNodes().stream().filter(FleetNode::isPaused).forEach(FleetNode::resume);
         fleet.advance(SETTLE);
     }
 
@@ -136,7 +137,7 @@
         checkOrder();
         checkEngines();
         checkManifests();
-        fleet.live()
+        fleet.liveNodes()
                 .forEach(node -> node.node().programs().values().stream()
                         .filter(state -> !state.hasEnded())
                         .filter(state -> refusedNotRun.containsKey(state.id().toString()))
@@ -193,7 +194,7 @@
     }
 
     private void checkManifests() {
-        long generations = fleet.live().stream()
+        long generations = fleet.liveNodes().stream()
                 .map(node -> node.node().manifest().generation())
                 .distinct()
                 .count();
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SoakMain.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SoakMain.java
@@ -15,9 +15,9 @@
 
 /** Runs randomised runs: {@code bin/soak --seed N --programs N}. */
 public final class SoakMain {
-    private static final int USAGE = 2;
-    private static final int CHUNK = 2000;
-    private static final int SHOWN = 20;
+    private static final int EXIT_USAGE = 2;
+    private static final int PROGRAMS_PER_RUN = 2000;
+    private static final int MAX_PRINTED_VIOLATIONS = 20;
 
     private SoakMain() {}
 
@@ -36,7 +36,7 @@
         OptionSpec<Integer> programs = parser.accepts("programs", "programs in all")
                 .withRequiredArg()
                 .ofType(Integer.class)
-                .defaultsTo(CHUNK);
+                .defaultsTo(PROGRAMS_PER_RUN);
         OptionSpec<String> kinds = parser.accepts("faults", "kinds of fault by commas; all if absent, none for none")
                 .withRequiredArg();
         parser.accepts("help", "print this").forHelp();
@@ -45,7 +45,7 @@
             options = parser.parse(arguments);
         } catch (OptionException fault) {
             System.err.println("soak: " + fault.getMessage());
-            System.exit(USAGE);
+            System.exit(EXIT_USAGE);
             return;
         }
         if (options.has("help")) {
@@ -61,11 +61,13 @@
         long injected = 0;
         RuntimeClock clock = new SystemClock();
         long begun = clock.nanos();
-        for (int done = 0, round = 0; done < programs; done += CHUNK, round++) {
-            int size = Math.min(CHUNK, programs - done);
+        for (int done = 0, round = 0; done < programs; done += PROGRAMS_PER_RUN, round++) {
+            int size = Math.min(PROGRAMS_PER_RUN, programs - done);
             SoakReport report = new Soak(new SoakOptions(seed + round, 5, size, 50, faults)).run();
             System.out.println(report.line() + " by_kind=" + report.faults());
-            report.violations().stream().limit(SHOWN).forEach(each -> System.out.println("  violation " + each));
+            report.violations().stream()
+                    .limit(MAX_PRINTED_VIOLATIONS)
+                    .forEach(each -> System.out.println("  violation " + each));
             violations += report.violations().size();
             calls += report.calls();
             injected += report.faults().values().stream().mapToInt(each -> each).sum();
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SoakOptions.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SoakOptions.java
@@ -9,10 +9,10 @@
  * @param seed seed of all chance
  * @param nodes nodes
  * @param programs programs in all
- * @param atOnce programs under way at once
+ * @param maxConcurrent programs under way at once
  * @param faults faults to bring about
  */
-public record SoakOptions(long seed, int nodes, int programs, int atOnce, Set<FaultKind> faults) {
+public record SoakOptions(long seed, int nodes, int programs, int maxConcurrent, Set<FaultKind> faults) {
     /**
      * A run with faults of every kind.
      *
@@ -20,7 +20,7 @@
      * @param programs programs in all
      * @return the options
      */
-    public static SoakOptions everything(long seed, int programs) {
+    public static SoakOptions withAllFaults(long seed, int programs) {
         return new SoakOptions(seed, 5, programs, 50, EnumSet.allOf(FaultKind.class));
     }
 }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionRun.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionRun.java
@@ -24,20 +24,20 @@
     /** Time for programs to end after the last began, ms. */
     private static final double END_MILLIS = 60_000;
     /** Way between caller, node and engine and back, ms. */
-    private static final double WAY_MILLIS = 20;
+    private static final double NETWORK_DELAY_MILLIS = 20;
     /** Past this wait a turn goes to any engine with room, ms. */
-    private static final double HELD_MILLIS = 720;
+    private static final double MAX_CACHE_WAIT_MILLIS = 720;
     /** Weight of the newest placement in what is usually read. */
-    private static final double USUAL_WEIGHT = 0.05;
+    private static final double UNCACHED_MEAN_WEIGHT = 0.05;
 
-    private static final double FIRST_USUAL_MISSING = 500;
+    private static final double INITIAL_MEAN_UNCACHED_TOKENS = 500;
 
     private final VirtualTime time = new VirtualTime();
     private final Histogram turnMillis = new Histogram(3);
     private final List<EngineModel> engines = new ArrayList<>();
     private final List<Runner> runners = new ArrayList<>();
     private final List<Node> nodes = new ArrayList<>();
-    private final Map<String, List<CachedPart>> heard = new HashMap<>();
+    private final Map<String, List<CachedPart>> grantedParts = new HashMap<>();
     private final Map<String, String> lastEngine = new HashMap<>();
     private final RandomGenerator ties;
     private final Policy policy;
@@ -50,18 +50,19 @@
 
     /** An entry node. */
     private final class Node {
-        private final int[] own = new int[shape.engines()];
-        private final int[] told = new int[shape.engines()];
+        private final int[] ownLoad = new int[shape.engines()];
+        private final int[] publishedLoad = new int[shape.engines()];
         private final PromptCacheIndex memory = new PromptCacheIndex();
         private final List<Turn> waiting = new ArrayList<>();
-        private double usualMissing = FIRST_USUAL_MISSING;
+        private double meanUncachedTokens = INITIAL_MEAN_UNCACHED_TOKENS;
 
         private void dispatch() {
             List.copyOf(waiting).forEach(this::place);
         }
 
         private void place(Turn turn) {
-            List<CachedPart> known = policy.hears() ? heard.getOrDefault(turn.program, List.of()) : List.of();
+            List<CachedPart> known =
+                    policy.usesGrants() ? grantedParts.getOrDefault(turn.program, List.of()) : List.of();
             List<Candidate> candidates = IntStream.range(0, shape.engines())
                     .mapToObj(engine -> {
                         String life = runners.get(engine).incarnation();
@@ -69,9 +70,9 @@
                         return new Candidate(runners.get(engine), load(engine), false, false, missing);
                     })
                     .toList();
-            boolean anywhere = time.millis() - turn.sinceMillis > HELD_MILLIS;
-            Policy.Situation situation = new Policy.Situation(
-                    candidates, lastEngine.getOrDefault(turn.program, ""), usualMissing, anywhere, placements);
+            boolean anywhere = time.millis() - turn.sinceMillis > MAX_CACHE_WAIT_MILLIS;
+            Policy.PlacementContext situation = new Policy.PlacementContext(
+                    candidates, lastEngine.getOrDefault(turn.program, ""), meanUncachedTokens, anywhere, placements);
             Optional<Candidate> chosen = policy.choose(situation, ties);
             if (chosen.isPresent() && waiting.remove(turn)) {
                 take(turn, chosen.get(), candidates.indexOf(chosen.get()));
@@ -80,13 +81,13 @@
 
         private void take(Turn turn, Candidate chosen, int engine) {
             placements++;
-            own[engine]++;
-            usualMissing += USUAL_WEIGHT * (chosen.uncachedTokens() - usualMissing);
+            ownLoad[engine]++;
+            meanUncachedTokens += UNCACHED_MEAN_WEIGHT * (chosen.uncachedTokens() - meanUncachedTokens);
             memory.recordSent(chosen.runner().incarnation(), turn.prompt, time.nanos());
             promptTokens += turn.prompt.stream().mapToInt(PromptPart::tokens).sum();
             engines.get(engine).submit(new EngineModel.Run(turn.prompt, turn.script.outputTokens(), () -> {
-                own[engine]--;
-                turn.served(chosen.runner().incarnation());
+                ownLoad[engine]--;
+                turn.complete(chosen.runner().incarnation());
                 dispatch();
             }));
         }
@@ -94,9 +95,9 @@
         private int load(int engine) {
             int others = nodes.stream()
                     .filter(each -> each != this)
-                    .mapToInt(each -> each.told[engine])
+                    .mapToInt(each -> each.publishedLoad[engine])
                     .sum();
-            return own[engine] + others;
+            return ownLoad[engine] + others;
         }
     }
 
@@ -115,13 +116,14 @@
             this.then = then;
         }
 
-        private void served(String life) {
+        private void complete(String incarnation) {
             turnMillis.recordValue((long) (time.millis() - sinceMillis));
             PromptPart line = prompt.getLast();
-            heard.computeIfAbsent(program, any -> new ArrayList<>())
-                    .add(new CachedPart(life, line.id(), line.tokens() + script.outputTokens()));
-            lastEngine.put(program, life);
-            time.after(WAY_MILLIS + script.pauseMillis(), then);
+            grantedParts
+                    .computeIfAbsent(program, any -> new ArrayList<>())
+                    .add(new CachedPart(incarnation, line.id(), line.tokens() + script.outputTokens()));
+            lastEngine.put(program, incarnation);
+            time.schedule(NETWORK_DELAY_MILLIS + script.pauseMillis(), then);
         }
     }
 
@@ -130,7 +132,7 @@
         this.shape = shape;
         this.ties = new Random(seed + 1);
         IntStream.range(0, shape.engines()).forEach(engine -> {
-            engines.add(new EngineModel(shape.figures(), time, millis -> pattern.slownessAt(engine, millis)));
+            engines.add(new EngineModel(shape.figures(), time, millis -> pattern.slowdownAt(engine, millis)));
             runners.add(new Runner(
                     "engine" + engine,
                     "engines",
@@ -154,9 +156,9 @@
     public static RunResult run(Policy policy, LoadPattern pattern, FleetShape shape, long seed) {
         DecisionRun run = new DecisionRun(policy, pattern, shape, seed);
         run.schedule(pattern, new Random(seed));
-        run.time.after(shape.viewMillis(), run::tell);
+        run.time.schedule(shape.loadReportMillis(), run::publishLoads);
         run.time.runUntil(SECONDS * 1000 + END_MILLIS);
-        long read = run.engines.stream().mapToLong(EngineModel::tokensRead).sum();
+        long read = run.engines.stream().mapToLong(EngineModel::prefillTokens).sum();
         return new RunResult(
                 run.programs,
                 run.inTime,
@@ -172,7 +174,7 @@
         while (seconds < SECONDS) {
             seconds += -Math.log(1 - random.nextDouble()) / (pattern.rateAt(seconds) * shape.rateFactor());
             ProgramScript program = ProgramScript.draw("p" + programs++, seconds * 1000, random, shape.figures());
-            time.after(program.beginMillis(), () -> begin(program));
+            time.schedule(program.beginMillis(), () -> begin(program));
         }
     }
 
@@ -180,14 +182,14 @@
         double begun = time.millis();
         List<PromptPart> start =
                 List.of(new PromptPart(program.sharedPart(), program.sharedTokens()), new PromptPart(program.id(), 0));
-        line(program.id(), program.turns(), 0, start, () -> {
+        runTurns(program.id(), program.turns(), 0, start, () -> {
             double took = time.millis() - begun;
             inTime += took <= program.targetMillis() ? 1 : 0;
             late += took > program.targetMillis() && took <= 2 * program.targetMillis() ? 1 : 0;
         });
     }
 
-    private void line(String program, List<TurnScript> turns, int next, List<PromptPart> before, Runnable ended) {
+    private void runTurns(String program, List<TurnScript> turns, int next, List<PromptPart> before, Runnable ended) {
         if (next == turns.size()) {
             ended.run();
             return;
@@ -196,16 +198,16 @@
         List<PromptPart> prompt = extended(before, script.newTokens());
         Turn turn = new Turn(program, script, prompt, () -> {
             List<PromptPart> after = extended(prompt, script.outputTokens());
-            subAgents(program, script, after, () -> line(program, turns, next + 1, after, ended));
+            runSubAgents(program, script, after, () -> runTurns(program, turns, next + 1, after, ended));
         });
         Node node = nodes.get((int) (script.nodeDraw() * shape.nodes()));
-        time.after(WAY_MILLIS, () -> {
+        time.schedule(NETWORK_DELAY_MILLIS, () -> {
             node.waiting.add(turn);
             node.dispatch();
         });
     }
 
-    private void subAgents(String program, TurnScript script, List<PromptPart> parent, Runnable joined) {
+    private void runSubAgents(String program, TurnScript script, List<PromptPart> parent, Runnable joined) {
         if (script.subAgents().isEmpty()) {
             joined.run();
             return;
@@ -215,7 +217,7 @@
             List<PromptPart> start = new ArrayList<>(parent);
             start.add(new PromptPart(
                     parent.getLast().id() + "/" + parent.getLast().tokens() + "/" + agent, 0));
-            line(program, script.subAgents().get(agent), 0, start, () -> {
+            runTurns(program, script.subAgents().get(agent), 0, start, () -> {
                 if (--open[0] == 0) {
                     joined.run();
                 }
@@ -230,11 +232,11 @@
         return longer;
     }
 
-    private void tell() {
-        nodes.forEach(each -> System.arraycopy(each.own, 0, each.told, 0, shape.engines()));
+    private void publishLoads() {
+        nodes.forEach(each -> System.arraycopy(each.ownLoad, 0, each.publishedLoad, 0, shape.engines()));
         nodes.forEach(Node::dispatch);
         if (time.millis() < SECONDS * 1000 + END_MILLIS) {
-            time.after(shape.viewMillis(), this::tell);
+            time.schedule(shape.loadReportMillis(), this::publishLoads);
         }
     }
 }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionsMain.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionsMain.java
@@ -99,7 +99,7 @@
                     mean(results.stream()
                             .mapToDouble(RunResult::turnMedianMillis)
                             .toArray()),
-                    mean(results.stream().mapToDouble(RunResult::turnHighMillis).toArray()));
+                    mean(results.stream().mapToDouble(RunResult::turnP99Millis).toArray()));
         }
     }
 
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/EngineModel.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/EngineModel.java
@@ -12,22 +12,22 @@
 
 /** A model engine: batched steps, prompts read in chunks between them, a memory of parts that gives way by last use. */
 final class EngineModel {
-    private final EngineFigures figures;
+    private final EngineParameters figures;
     private final VirtualTime time;
-    private final DoubleUnaryOperator slowness;
+    private final DoubleUnaryOperator slowdownFactor;
     private final Deque<Run> queue = new ArrayDeque<>();
     private final List<Run> running = new ArrayList<>();
-    private final Map<String, Integer> parts = new LinkedHashMap<>(16, 0.75f, true);
+    private final Map<String, Integer> cachedTokens = new LinkedHashMap<>(16, 0.75f, true);
     private boolean stepping;
-    private long tokensRead;
+    private long prefillTokens;
 
     /** One request at an engine. */
     static final class Run {
         private final List<PromptPart> prompt;
         private final int output;
         private final Runnable done;
-        private int toRead;
-        private int made;
+        private int pendingPrefillTokens;
+        private int generatedTokens;
         private double firstTokenMillis;
         private double lastTokenMillis;
 
@@ -39,100 +39,100 @@
 
         /** Mean time between tokens, ms; 0 for less than two. */
         double millisPerToken() {
-            return made < 2 ? 0 : (lastTokenMillis - firstTokenMillis) / (made - 1);
+            return generatedTokens < 2 ? 0 : (lastTokenMillis - firstTokenMillis) / (generatedTokens - 1);
         }
 
         private int context() {
-            return prompt.stream().mapToInt(PromptPart::tokens).sum() + made;
+            return prompt.stream().mapToInt(PromptPart::tokens).sum() + generatedTokens;
         }
     }
 
-    EngineModel(EngineFigures figures, VirtualTime time, DoubleUnaryOperator slowness) {
+    EngineModel(EngineParameters figures, VirtualTime time, DoubleUnaryOperator slowness) {
         this.figures = figures;
         this.time = time;
-        this.slowness = slowness;
+        this.slowdownFactor = slowness;
     }
 
     void submit(Run run) {
         queue.addLast(run);
         if (!stepping) {
-            step();
+            startStep();
         }
     }
 
-    long tokensRead() {
-        return tokensRead;
+    long prefillTokens() {
+        return prefillTokens;
     }
 
-    private void step() {
+    private void startStep() {
         while (running.size() < figures.slots() && !queue.isEmpty()) {
             Run next = queue.pollFirst();
-            next.toRead = missing(next.prompt);
-            tokensRead += next.toRead;
+            next.pendingPrefillTokens = uncachedTokens(next.prompt);
+            prefillTokens += next.pendingPrefillTokens;
             running.add(next);
         }
         stepping = !running.isEmpty();
         if (!stepping) {
             return;
         }
-        int reads = readChunk();
+        int reads = prefillChunk();
         double context = running.stream().mapToInt(Run::context).sum() / 1000.0;
         double millis = figures.stepMillis()
                 + figures.stepMillisPerRequest() * running.size()
                 + figures.stepMillisPerThousandTokens() * context
-                + reads / figures.readTokensPerMilli();
-        time.after(millis * slowness.applyAsDouble(time.millis()), this::stepped);
+                + reads / figures.prefillTokensPerMilli();
+        time.schedule(millis * slowdownFactor.applyAsDouble(time.millis()), this::completeStep);
     }
 
-    private int readChunk() {
-        int left = figures.chunkTokens();
+    private int prefillChunk() {
+        int left = figures.prefillChunkTokens();
         for (Run run : running) {
-            int taken = Math.min(left, run.toRead);
-            run.toRead -= taken;
+            int taken = Math.min(left, run.pendingPrefillTokens);
+            run.pendingPrefillTokens -= taken;
             left -= taken;
         }
-        return figures.chunkTokens() - left;
+        return figures.prefillChunkTokens() - left;
     }
 
-    private void stepped() {
+    private void completeStep() {
         List<Run> ended = new ArrayList<>();
         for (Iterator<Run> each = running.iterator(); each.hasNext(); ) {
             Run run = each.next();
-            if (run.toRead > 0) {
+            if (run.pendingPrefillTokens > 0) {
                 continue;
             }
-            run.made++;
+            run.generatedTokens++;
             run.lastTokenMillis = time.millis();
-            run.firstTokenMillis = run.made == 1 ? time.millis() : run.firstTokenMillis;
-            if (run.made >= run.output) {
+            run.firstTokenMillis = run.generatedTokens == 1 ? time.millis() : run.firstTokenMillis;
+            if (run.generatedTokens >= run.output) {
                 each.remove();
-                keep(run);
+                cachePrompt(run);
                 ended.add(run);
             }
         }
-        step();
+        startStep();
         ended.forEach(run -> run.done.run());
     }
 
-    private int missing(List<PromptPart> prompt) {
+    private int uncachedTokens(List<PromptPart> prompt) {
         int missing = 0;
         boolean whole = true;
         for (PromptPart part : prompt) {
-            int held = whole ? Math.min(part.tokens(), parts.getOrDefault(part.id(), 0)) : 0;
+            int held = whole ? Math.min(part.tokens(), cachedTokens.getOrDefault(part.id(), 0)) : 0;
             missing += part.tokens() - held;
             whole &= held == part.tokens();
         }
         return missing;
     }
 
-    private void keep(Run run) {
-        run.prompt.forEach(part -> parts.merge(part.id(), part.tokens(), Math::max));
+    private void cachePrompt(Run run) {
+        run.prompt.forEach(part -> cachedTokens.merge(part.id(), part.tokens(), Math::max));
         PromptPart line = run.prompt.getLast();
-        parts.put(line.id(), line.tokens() + run.made);
+        cachedTokens.put(line.id(), line.tokens() + run.generatedTokens);
         int used = running.stream().mapToInt(Run::context).sum();
-        int room = figures.memoryTokens() - used;
-        int held = parts.values().stream().mapToInt(Integer::intValue).sum();
-        for (Iterator<Integer> oldest = parts.values().iterator(); held > room && oldest.hasNext(); ) {
+        int room = figures.cacheTokens() - used;
+        int held = cachedTokens.values().stream().mapToInt(Integer::intValue).sum();
+        for (Iterator<Integer> oldest = cachedTokens.values().iterator(); held > room && oldest.hasNext(); ) {
             held -= oldest.next();
             oldest.remove();
         }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/EngineFigures.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/EngineParameters.java
@@ -7,25 +7,25 @@
  * @param stepMillis time of a step of an empty batch, ms; each step makes a token of each request
  * @param stepMillisPerRequest what each request adds to a step, ms
  * @param stepMillisPerThousandTokens what each thousand tokens of context add to a step, ms
- * @param readTokensPerMilli prompt tokens that are read in a ms, while all others in the batch wait
- * @param chunkTokens prompt tokens that are read in one step at most
- * @param memoryTokens tokens that fit into its memory
+ * @param prefillTokensPerMilli prompt tokens that are read in a ms, while all others in the batch wait
+ * @param prefillChunkTokens prompt tokens that are read in one step at most
+ * @param cacheTokens tokens that fit into its memory
  */
-public record EngineFigures(
+public record EngineParameters(
         int slots,
         double stepMillis,
         double stepMillisPerRequest,
         double stepMillisPerThousandTokens,
-        double readTokensPerMilli,
-        int chunkTokens,
-        int memoryTokens) {
+        double prefillTokensPerMilli,
+        int prefillChunkTokens,
+        int cacheTokens) {
     /**
      * A mid-sized engine: a large model on two accelerators, with a batch of sixteen.
      *
      * @return its figures
      */
-    public static EngineFigures usual() {
-        return new EngineFigures(16, 2.3, 0.006, 0.008, 83, 2048, 134_000);
+    public static EngineParameters standard() {
+        return new EngineParameters(16, 2.3, 0.006, 0.008, 83, 2048, 134_000);
     }
 
     /**
@@ -33,7 +33,7 @@
      *
      * @return its figures
      */
-    public static EngineFigures few() {
-        return new EngineFigures(6, 2.3, 0.006, 0.008, 83, 2048, 54_000);
+    public static EngineParameters smallBatch() {
+        return new EngineParameters(6, 2.3, 0.006, 0.008, 83, 2048, 54_000);
     }
 }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/FleetShape.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/FleetShape.java
@@ -7,18 +7,18 @@
  * @param nodes entry nodes, each of which places by itself
  * @param engines model engines
  * @param figures what each engine can do
- * @param viewMillis period in which nodes learn each other's loads, ms; until then they see what was told last
+ * @param loadReportMillis period in which nodes learn each other's loads, ms; until then they see what was told last
  * @param rateFactor usual programs a second, in multiples of those of the small fleet
  */
 public record FleetShape(
-        String name, int nodes, int engines, EngineFigures figures, double viewMillis, double rateFactor) {
+        String name, int nodes, int engines, EngineParameters figures, double loadReportMillis, double rateFactor) {
     /**
      * A few nodes that tell each other directly, before a few large engines.
      *
      * @return the shape
      */
     public static FleetShape small() {
-        return new FleetShape("small", 7, 6, EngineFigures.usual(), 80, 1);
+        return new FleetShape("small", 7, 6, EngineParameters.standard(), 80, 1);
     }
 
     /**
@@ -28,6 +28,6 @@
      * @return the shape
      */
     public static FleetShape large() {
-        return new FleetShape("large", 57, 31, EngineFigures.few(), 240, 2);
+        return new FleetShape("large", 57, 31, EngineParameters.smallBatch(), 240, 2);
     }
 }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/LoadPattern.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/LoadPattern.java
@@ -24,7 +24,7 @@
         return burst ? programsPerSecond * burstFactor : programsPerSecond;
     }
 
-    double slownessAt(int engine, double millis) {
+    double slowdownAt(int engine, double millis) {
         double seconds = millis / 1000;
         boolean slow =
                 engine < slowEngines && seconds >= BURST_FROM_SECONDS && seconds < BURST_FROM_SECONDS + burstSeconds;
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/Policy.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/Policy.java
@@ -41,7 +41,7 @@
      *
      * @return false where that mechanism is off
      */
-    default boolean hears() {
+    default boolean usesGrants() {
         return !(this instanceof HeldParts parts) || parts.heard();
     }
 
@@ -50,11 +50,16 @@
      *
      * @param candidates the engines
      * @param lastEngine the life of the engine of the program's last turn; empty for none
-     * @param usualMissing tokens that a usual turn has to read
-     * @param anywhere whether the turn has waited nearly as long as it may
-     * @param turn counts placements
+     * @param meanUncachedTokens tokens that a usual turn has to read
+     * @param isWaitExhausted whether the turn has waited nearly as long as it may
+     * @param placementCount counts placements
      */
-    record Situation(List<Candidate> candidates, String lastEngine, double usualMissing, boolean anywhere, int turn) {}
+    record PlacementContext(
+            List<Candidate> candidates,
+            String lastEngine,
+            double meanUncachedTokens,
+            boolean isWaitExhausted,
+            int placementCount) {}
 
     /**
      * Chooses an engine.
@@ -63,39 +68,39 @@
      * @param random breaks ties
      * @return the engine; empty to wait
      */
-    default Optional<Candidate> choose(Situation situation, RandomGenerator random) {
+    default Optional<Candidate> choose(PlacementContext situation, RandomGenerator random) {
         return switch (this) {
             case RoundRobin ignored ->
-                withPlace(situation)
-                        .skip(situation.turn()
-                                % Math.max(1, withPlace(situation).count()))
+                withFreeSlot(situation)
+                        .skip(situation.placementCount()
+                                % Math.max(1, withFreeSlot(situation).count()))
                         .findFirst();
-            case LeastLoaded ignored -> least(situation, random);
-            case Sticky ignored -> last(situation, Integer.MAX_VALUE).or(() -> least(situation, random));
-            case OneMore ignored -> last(situation, 1).or(() -> least(situation, random));
+            case LeastLoaded ignored -> leastLoaded(situation, random);
+            case Sticky ignored -> lastUsed(situation, Integer.MAX_VALUE).or(() -> leastLoaded(situation, random));
+            case OneMore ignored -> lastUsed(situation, 1).or(() -> leastLoaded(situation, random));
             case HeldParts parts ->
                 RunnerChoice.choose(
                         situation.candidates(),
-                        situation.usualMissing(),
-                        situation.anywhere() || !parts.waits(),
+                        situation.meanUncachedTokens(),
+                        situation.isWaitExhausted() || !parts.waits(),
                         parts.drawn(),
                         random);
         };
     }
 
-    private static Stream<Candidate> withPlace(Situation situation) {
+    private static Stream<Candidate> withFreeSlot(PlacementContext situation) {
         return situation.candidates().stream()
                 .filter(each -> each.load() < each.runner().slots());
     }
 
-    private static Optional<Candidate> least(Situation situation, RandomGenerator random) {
-        return withPlace(situation).min(Comparator.comparingDouble(each -> each.load() + random.nextDouble()));
+    private static Optional<Candidate> leastLoaded(PlacementContext situation, RandomGenerator random) {
+        return withFreeSlot(situation).min(Comparator.comparingDouble(each -> each.load() + random.nextDouble()));
     }
 
-    private static Optional<Candidate> last(Situation situation, int allowance) {
+    private static Optional<Candidate> lastUsed(PlacementContext situation, int allowance) {
         int least =
                 situation.candidates().stream().mapToInt(Candidate::load).min().orElse(0);
-        return withPlace(situation)
+        return withFreeSlot(situation)
                 .filter(each -> each.runner().incarnation().equals(situation.lastEngine()))
                 .filter(each -> each.load() - allowance <= least)
                 .findFirst();
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/ProgramScript.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/ProgramScript.java
@@ -27,13 +27,13 @@
     /** Added to that, ms. */
     private static final double TARGET_SLACK_MILLIS = 250;
     /** The way of a turn between caller and engine, ms. */
-    private static final double WAY_MILLIS = 36;
+    private static final double NETWORK_DELAY_MILLIS = 36;
     /** Distinct parts that prompts begin with. */
     private static final int SHARED_PARTS = 16;
 
     private static final int SHARED_TOKENS = 512;
     private static final int SUB_AGENT_TURNS = 2;
-    private static final int MOST_OUTPUT = 286;
+    private static final int MAX_OUTPUT_TOKENS = 286;
 
     /**
      * Draws a program: three in ten are long dialogues of short inputs with many sub-agents, the others shorter.
@@ -44,7 +44,7 @@
      * @param figures the engine that its time on idle engines is reckoned with
      * @return the program
      */
-    static ProgramScript draw(String id, double beginMillis, RandomGenerator random, EngineFigures figures) {
+    static ProgramScript draw(String id, double beginMillis, RandomGenerator random, EngineParameters figures) {
         boolean dialogue = random.nextDouble() < 0.3;
         int turns = Math.max(1, (int) Math.round((dialogue ? 7 : 4) * Math.exp(0.4 * random.nextGaussian())));
         double inputMean = dialogue ? 327 : 654;
@@ -69,16 +69,16 @@
         }
         int input =
                 (int) Math.max(20, Math.min(5 * inputMean, inputMean * Math.exp(0.7 * random.nextGaussian() - 0.25)));
-        int output = (int) Math.max(11, Math.min(MOST_OUTPUT, 73 * Math.exp(0.8 * random.nextGaussian() - 0.32)));
+        int output = (int) Math.max(11, Math.min(MAX_OUTPUT_TOKENS, 73 * Math.exp(0.8 * random.nextGaussian() - 0.32)));
         double pause = pauseMean * Math.exp(0.6 * random.nextGaussian() - 0.18);
         return new TurnScript(input, output, random.nextDouble(), pause, subAgents);
     }
 
-    private static double idleMillis(List<TurnScript> line, EngineFigures figures, int firstShared) {
-        double sum = firstShared / figures.readTokensPerMilli();
+    private static double idleMillis(List<TurnScript> line, EngineParameters figures, int firstShared) {
+        double sum = firstShared / figures.prefillTokensPerMilli();
         for (TurnScript turn : line) {
-            sum += WAY_MILLIS
-                    + turn.newTokens() / figures.readTokensPerMilli()
+            sum += NETWORK_DELAY_MILLIS
+                    + turn.newTokens() / figures.prefillTokensPerMilli()
                     + turn.outputTokens() * figures.stepMillis()
                     + turn.pauseMillis();
             sum += turn.subAgents().stream()
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/RunResult.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/RunResult.java
@@ -7,18 +7,18 @@
  * @param inTime ended within their target time
  * @param late ended within twice that
  * @param promptTokens tokens of all prompts
- * @param readTokens those that engines had to read
+ * @param prefillTokens those that engines had to read
  * @param turnMedianMillis median time of a turn, waits included, ms
- * @param turnHighMillis its 99th percentile, ms
+ * @param turnP99Millis its 99th percentile, ms
  */
 public record RunResult(
         int programs,
         int inTime,
         int late,
         long promptTokens,
-        long readTokens,
+        long prefillTokens,
         double turnMedianMillis,
-        double turnHighMillis) {
+        double turnP99Millis) {
     /**
      * Worth of the programs: one in time counts whole, a late one half.
      *
@@ -34,6 +34,6 @@
      * @return from 0 to 1
      */
     public double readShare() {
-        return promptTokens == 0 ? 0 : (double) readTokens / promptTokens;
+        return promptTokens == 0 ? 0 : (double) prefillTokens / promptTokens;
     }
 }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/VirtualTime.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/VirtualTime.java
@@ -20,7 +20,7 @@
         return (long) (millis * 1_000_000);
     }
 
-    void after(double delayMillis, Runnable task) {
+    void schedule(double delayMillis, Runnable task) {
         events.add(new Event(millis + delayMillis, order++, task));
     }
 
--- a/parsleydrift-bench/src/test/java/org/parsleydrift/bench/PromiseTest.java
+++ b/parsleydrift-bench/src/test/java/org/parsleydrift/bench/PromiseTest.java
@@ -70,9 +70,9 @@
         fleet.advance(Duration.ofMillis(150));
         FleetNode owner = fleet.nodes().getFirst();
         String before = owner.node().status().node();
-        owner.freeze();
+        owner.pause();
         fleet.advance(Duration.ofSeconds(8));
-        owner.thaw();
+        owner.resume();
         awaitDone(callers);
         assertAllWhole(callers);
         assertNoDoubledEffect();
@@ -179,12 +179,12 @@
      * each of the others is told by another that it was heard. Cause: hearsay taken for hearing.
      */
     @Test
-    public void deadNodeIsNotKeptAliveByHearsay() {
+    public void deadNodeIsNotKeptAliveByPeerReports() {
         FleetNode dead = fleet.nodes().getFirst();
         String name = dead.node().status().node();
         dead.kill();
         fleet.advance(Duration.ofSeconds(8));
-        fleet.live()
+        fleet.liveNodes()
                 .forEach(node -> assertTrue(node.node().status().peers().stream()
                         .noneMatch(peer -> peer.node().equals(name))));
     }
@@ -226,7 +226,7 @@
     public void racingManifestsHaveOneWinner() {
         int[] won = {0};
         int[] lost = {0};
-        List<FleetNode> live = fleet.live();
+        List<FleetNode> live = fleet.liveNodes();
         for (int i = 0; i < live.size(); i++) {
             FleetNode node = live.get(i);
             String text = fleet.manifest(40 + i);
@@ -241,7 +241,7 @@
         fleet.advance(Duration.ofSeconds(5));
         assertEquals(won[0], 1);
         assertEquals(lost[0], 2);
-        fleet.live().forEach(node -> assertEquals(node.node().manifest().generation(), 2));
+        fleet.liveNodes().forEach(node -> assertEquals(node.node().manifest().generation(), 2));
     }
 
     /**
@@ -286,11 +286,11 @@
     }
 
     private void awaitDone(List<FleetCaller> callers) {
-        fleet.awaitTrue(Duration.ofMinutes(10), () -> callers.stream().allMatch(FleetCaller::done));
+        fleet.awaitTrue(Duration.ofMinutes(10), () -> callers.stream().allMatch(FleetCaller::isDone));
     }
 
     private FleetNode owner(FleetCaller caller) {
-        FleetNode owner = fleet.live().stream()
+        FleetNode owner = fleet.liveNodes().stream()
                 .filter(node -> node.node().programs().containsKey(caller.id()))
                 .findFirst()
                 .orElse(null);
@@ -299,7 +299,7 @@
     }
 
     private static void assertAllWhole(List<FleetCaller> callers) {
-        callers.forEach(caller -> assertEquals(caller.fault(), "", String.valueOf(caller.id())));
+        callers.forEach(caller -> assertEquals(caller.describeFault(), "", String.valueOf(caller.id())));
     }
 
     private void assertNoDoubledEffect() {
--- a/parsleydrift-bench/src/test/java/org/parsleydrift/bench/SoakTest.java
+++ b/parsleydrift-bench/src/test/java/org/parsleydrift/bench/SoakTest.java
@@ -20,13 +20,13 @@
      */
     @Test(dataProvider = "seeds")
     public void nothingIsViolatedUnderAllFaults(long seed) {
-        SoakReport report = new Soak(SoakOptions.everything(seed, 600)).run();
+        SoakReport report = new Soak(SoakOptions.withAllFaults(seed, 600)).run();
         assertEquals(report.violations(), List.of(), report.line());
     }
 
     @Test
     public void sameSeedGivesTheSameRun() {
-        String first = new Soak(SoakOptions.everything(5, 150)).run().line();
-        assertEquals(new Soak(SoakOptions.everything(5, 150)).run().line(), first);
+        String first = new Soak(SoakOptions.withAllFaults(5, 150)).run().line();
+        assertEquals(new Soak(SoakOptions.withAllFaults(5, 150)).run().line(), first);
     }
 }
--- a/parsleydrift-bench/src/test/java/org/parsleydrift/bench/decisions/DecisionRunTest.java
+++ b/parsleydrift-bench/src/test/java/org/parsleydrift/bench/decisions/DecisionRunTest.java
@@ -38,7 +38,7 @@
      * the engine with one request less and their lines are read there anew. Cause: reading was not reckoned with.
      */
     @Test
-    public void inABurstLinesStayWhereTheyAreHeld() {
+    public void burstKeepsProgramsOnCachingEngines() {
         List<RunResult> held = runs(new Policy.HeldParts(), "burst");
         List<RunResult> oneMore = runs(new Policy.OneMore(), "burst");
         assertTrue(read(held) < 0.6 * read(oneMore), read(held) + " against " + read(oneMore));
@@ -69,7 +69,7 @@
      * least loaded until they hear of each other's requests there, 240 ms later, and meet at it.
      */
     @Test
-    public void inABurstManyNodesDontMeetAtOneEngine() {
+    public void burstDoesNotOverloadOneEngine() {
         double worth = worth(runs(new Policy.HeldParts(), "burst", FleetShape.large()));
         assertTrue(worth > 0.9, "worth " + worth);
     }
