--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/DisconnectableObjectStore.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/DisconnectableObjectStore.java
@@ -8,9 +8,9 @@
 import org.parsleydrift.kernel.platform.StoredObject;
 import org.parsleydrift.kernel.platform.VmEntry;
 
-/** The platform as one node reaches it: while the way is cut, nothing is sent and nothing is answered. */
+/** One node's connection to the platform's object store; requests stay unanswered while the route is cut. */
 final class DisconnectableObjectStore implements ObjectStore {
-    /** The platform's end of a way in {@link FleetNetwork}. */
+    /** The platform's endpoint in {@link FleetNetwork}. */
     static final String PLATFORM = "platform";
 
     private final Fleet fleet;
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FaultInjector.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FaultInjector.java
@@ -12,7 +12,7 @@
 import org.parsleydrift.standin.StandInTool;
 import org.parsleydrift.standin.ToolFaults;
 
-/** Brings faults about at random times, several at once, and ends each after a random while. */
+/** Injects overlapping faults at random times and ends each after a random duration. */
 final class FaultInjector {
     private static final int MIN_LIVE = 2;
 
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FaultKind.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FaultKind.java
@@ -1,37 +1,37 @@
 package org.parsleydrift.bench;
 
-/** The faults of randomised runs; each stands in the brief's "What fails". */
+/** Kinds of fault that randomised runs inject. */
 public enum FaultKind {
-    /** A process dies and a new one starts on its VM. */
+    /** A process is killed and restarted on its VM. */
     NODE_KILLED,
-    /** A VM pauses for longer than it takes others to seal its journal. */
+    /** A VM pauses, possibly for longer than it takes its peers to seal its journal. */
     NODE_PAUSED,
     /** A node is drained and replaced. */
     NODE_DRAINED,
-    /** An open connection between two nodes falls silent for good. */
+    /** An open connection between two nodes stalls until it is replaced. */
     LINK_SILENT,
-    /** Two nodes can't reach each other for a while. */
+    /** The route between two nodes is temporarily cut in both directions. */
     LINK_CUT,
-    /** One node can't reach the platform for a while. */
+    /** The route from a node to the platform is temporarily cut. */
     PLATFORM_CUT,
-    /** The platform answers nobody for a while. */
+    /** The platform is temporarily unavailable to all nodes. */
     PLATFORM_OUTAGE,
-    /** The platform takes two seconds for each answer. */
+    /** The platform delays each response by almost 2 s. */
     PLATFORM_SLOW,
-    /** Answers of the platform are lost after changes took effect. */
+    /** Responses of the platform are lost after the change took effect. */
     PLATFORM_ANSWERS_LOST,
-    /** An engine loses all it holds. */
+    /** An engine crashes and restarts with empty memory. */
     ENGINE_CRASHED,
-    /** An engine says that it is leaving, and comes back later. */
+    /** An engine temporarily refuses turns because it is leaving. */
     ENGINE_LEAVING,
-    /** Turns break off half-way. */
+    /** An engine aborts turns before they complete. */
     ENGINE_BREAKS,
-    /** A node can't reach an engine for a while. */
+    /** The route from a node to an engine is temporarily cut. */
     ENGINE_CUT,
-    /** Tools run calls and their answers are lost. */
+    /** A tool runs calls but its responses are lost. */
     TOOL_ANSWERS_LOST,
-    /** A tool says that it is leaving, and comes back later. */
+    /** A tool temporarily refuses calls because it is leaving. */
     TOOL_LEAVING,
-    /** Operators submit manifests at one moment to several nodes. */
+    /** Manifests are submitted to all live nodes concurrently. */
     MANIFEST_RACE
 }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/Fleet.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/Fleet.java
@@ -18,8 +18,8 @@
 import org.parsleydrift.standin.StandInTool;
 
 /**
- * A few nodes over fakes of all outside systems, on virtual time in one thread. There is no model of a network beyond
- * a delay and connections that fall silent; the decisions are the daemon's own.
+ * An in-memory fleet: nodes with the daemon's own code against stand-ins of all external systems, on virtual time in a
+ * single thread. The network is modelled by a fixed delay and by connections that drop all traffic.
  */
 public final class Fleet {
     private static final Duration STORE_LATENCY = Duration.ofMillis(2);
@@ -38,9 +38,9 @@
     private int nextVm = 1;
 
     /**
-     * Makes a fleet and starts its nodes.
+     * Creates a fleet and starts its nodes.
      *
-     * @param options its size
+     * @param options the seed and size
      */
     public Fleet(FleetOptions options) {
         this.random = new SplittableRandom(options.seed());
@@ -59,9 +59,9 @@
     }
 
     /**
-     * Starts one more VM.
+     * Starts a node on a new VM.
      *
-     * @return its node
+     * @return the new node
      */
     public FleetNode addNode() {
         int number = nextVm++;
@@ -78,10 +78,10 @@
     }
 
     /**
-     * A manifest for this fleet's upstreams.
+     * Creates a manifest for this fleet's upstreams.
      *
-     * @param turnTokens the most tokens of a turn
-     * @return its text
+     * @param turnTokens the maximum number of tokens of a turn
+     * @return the manifest as JSON
      */
     public String manifest(int turnTokens) {
         String runners = engines.keySet().stream()
@@ -102,9 +102,10 @@
     }
 
     /**
-     * Submits a manifest and waits until it is in force on every live node.
+     * Submits a manifest and waits until every live node is ready.
      *
-     * @param text the manifest
+     * @param text the manifest as JSON
+     * @throws AssertionError if a node is not ready within 30 s of virtual time
      */
     public void submit(String text) {
         FleetNode first = liveNodes().getFirst();
@@ -115,33 +116,33 @@
     }
 
     /**
-     * Advances time in small steps until something holds.
+     * Advances virtual time in small steps until a condition holds.
      *
-     * @param limit the longest to wait
-     * @param condition what must hold
-     * @throws AssertionError if it does not hold in time
+     * @param limit the maximum virtual time to wait
+     * @param condition the condition, evaluated after each step
+     * @throws AssertionError if the condition does not hold within the limit
      */
     public void awaitTrue(Duration limit, BooleanSupplier condition) {
         long end = scheduler.nanos() + limit.toNanos();
         while (!condition.getAsBoolean()) {
             if (scheduler.nanos() >= end) {
-                throw new AssertionError("not reached within " + limit);
+                throw new AssertionError("condition did not hold within " + limit + " of virtual time");
             }
             scheduler.advance(Duration.ofMillis(20));
         }
     }
 
     /**
-     * Lets time pass.
+     * Advances virtual time and runs the tasks that become due.
      *
-     * @param span how long
+     * @param span the time to advance by
      */
     public void advance(Duration span) {
         scheduler.advance(span);
     }
 
     /**
-     * Virtual time.
+     * Returns the virtual clock and scheduler.
      *
      * @return the scheduler
      */
@@ -150,7 +151,7 @@
     }
 
     /**
-     * Chance of this run.
+     * Returns the seeded random generator of this run.
      *
      * @return the generator
      */
@@ -159,7 +160,7 @@
     }
 
     /**
-     * The loop of all stand-ins.
+     * Returns the event loop of the external systems.
      *
      * @return the loop
      */
@@ -168,7 +169,7 @@
     }
 
     /**
-     * The platform.
+     * Returns the object store of the platform.
      *
      * @return the stand-in
      */
@@ -177,7 +178,7 @@
     }
 
     /**
-     * The engines.
+     * Returns the model engines.
      *
      * @return stand-ins by address
      */
@@ -186,7 +187,7 @@
     }
 
     /**
-     * The tools.
+     * Returns the tool services.
      *
      * @return stand-ins by address
      */
@@ -195,7 +196,7 @@
     }
 
     /**
-     * The connections.
+     * Returns the simulated network.
      *
      * @return the network
      */
@@ -204,18 +205,18 @@
     }
 
     /**
-     * All VMs ever started, dead ones among them.
+     * Returns all nodes ever started, including dead ones.
      *
-     * @return the nodes
+     * @return the nodes in the order of their start
      */
     public List<FleetNode> nodes() {
         return nodes;
     }
 
     /**
-     * The VMs that are up.
+     * Returns the nodes whose process is running, including paused ones.
      *
-     * @return the nodes
+     * @return the live nodes
      */
     public List<FleetNode> liveNodes() {
         return nodes.stream().filter(FleetNode::isAlive).toList();
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetCaller.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetCaller.java
@@ -11,8 +11,8 @@
 import org.parsleydrift.tools.ProgramAnswer;
 
 /**
- * A caller of one program: asks which node to use, starts the program, sends its messages, reads its answer, and asks
- * again with the same key wherever a connection breaks. It checks each piece that it gets.
+ * A simulated caller of one program: requests an entry node, starts the program, sends its messages and reads its
+ * answer. It reconnects with the same idempotency key when a connection breaks, and verifies the offset of each output.
  */
 public final class FleetCaller {
     private static final Duration RETRY_DELAY = Duration.ofMillis(200);
@@ -39,12 +39,12 @@
     private long lastReplyNanos;
 
     /**
-     * Makes a caller that does nothing yet.
+     * Creates a caller without sending a request.
      *
-     * @param fleet the fleet
-     * @param key the caller's key
+     * @param fleet the fleet that runs the program
+     * @param key the idempotency key, unique in the fleet
      * @param prompt the program's first input
-     * @param messages how many messages it sends
+     * @param messages the number of messages sent after the start
      */
     public FleetCaller(Fleet fleet, String key, String prompt, int messages) {
         this(fleet, key, "a", prompt, messages);
@@ -58,7 +58,7 @@
         this.messageCount = messages;
     }
 
-    /** Begins. */
+    /** Sends the first request and starts to monitor the connection. */
     public void begin() {
         startedNanos = fleet.scheduler().nanos();
         lastReplyNanos = startedNanos;
@@ -67,52 +67,52 @@
     }
 
     /**
-     * Whether nothing more will come.
+     * Returns whether the program has ended for this caller.
      *
-     * @return true with an answer or a final refusal
+     * @return true after a complete answer or a final refusal
      */
     public boolean isDone() {
         return answer != null || refusal != null;
     }
 
     /**
-     * The whole answer.
+     * Returns the complete answer.
      *
-     * @return the answer, or null
+     * @return the answer, or null while the program runs or after a refusal
      */
     public ProgramAnswer answer() {
         return answer;
     }
 
     /**
-     * The final refusal.
+     * Returns the final refusal.
      *
-     * @return the refusal, or null
+     * @return the refusal, or null if the program was not refused
      */
     public CallerReply.Refused refusal() {
         return refusal;
     }
 
     /**
-     * The program's id.
+     * Returns the program's id.
      *
-     * @return the id, or null before the first ticket
+     * @return the id, or null before an entry node is assigned
      */
     public ProgramId id() {
         return id;
     }
 
     /**
-     * What it has read so far.
+     * Returns the output received so far.
      *
-     * @return the text
+     * @return the text, empty before the first output
      */
     public String text() {
         return text.toString();
     }
 
     /**
-     * Time from the first request to the whole answer.
+     * Returns the time from the first request to the answer or final refusal.
      *
      * @return virtual nanoseconds
      */
@@ -121,9 +121,9 @@
     }
 
     /**
-     * Checks the answer token by token.
+     * Verifies the answer token by token.
      *
-     * @return what is wrong, or an empty text
+     * @return a description of the first mismatch, or an empty string if the answer is correct
      */
     public String describeFault() {
         if (answer == null) {
@@ -195,7 +195,8 @@
             }
             case CallerReply.Output output -> {
                 if (output.offset() != text.length()) {
-                    throw new AssertionError(id + " got offset " + output.offset() + " at " + text.length());
+                    throw new AssertionError(
+                            id + " received output at offset " + output.offset() + ", expected " + text.length());
                 }
                 text.append(output.text());
             }
@@ -208,8 +209,8 @@
                         ended.length()));
             case CallerReply.Refused refused -> handleRefusal(refused);
             case CallerReply.Answer ignored -> finish(new ProgramAnswer("", "complete", "", 0));
-            case CallerReply.Explained ignored -> throw new AssertionError("not asked for");
-            case CallerReply.Moved ignored -> throw new AssertionError("a caller must not see this");
+            case CallerReply.Explained ignored -> throw new AssertionError(id + " received an unrequested explanation");
+            case CallerReply.Moved ignored -> throw new AssertionError(id + " received a reply reserved for nodes");
             case CallerReply.Progress ignored -> {
                 return;
             }
@@ -218,7 +219,7 @@
 
     private void handleRefusal(CallerReply.Refused refused) {
         if (refused.kind() == RefusalKind.NOT_RUN && !started) {
-            // Believes it, and never asks again: nothing of the program may be found anywhere.
+            // Never retries, so that the run can verify that a refused program left no effects.
             refusal = refused;
             close();
         } else if (refused.retryAfterMillis() > 0) {
@@ -240,7 +241,7 @@
         endedNanos = fleet.scheduler().nanos();
     }
 
-    /** A caller's own look at its connection: a node that died or fell silent is left for another. */
+    /** Reconnects to another node if the current one died or exceeded the idle timeout. */
     private void watchConnection() {
         if (closed) {
             return;
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetNetwork.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetNetwork.java
@@ -8,7 +8,7 @@
 import org.parsleydrift.kernel.codec.MessagePackCodec;
 import org.parsleydrift.node.peer.PeerEnvelope;
 
-/** Connections of a fleet: a delay, and connections or whole ways that fall silent. */
+/** The simulated network of a fleet: a fixed delay, stalled connections and cut routes. */
 public final class FleetNetwork {
     private static final Duration DELAY = Duration.ofMillis(1);
 
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Makes the open connection between two ends silent for good; a new one works.
+     * Stalls the open connection between two endpoints until it is reset.
      *
      * @param from one end
      * @param to the other end
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Opens a new connection.
+     * Replaces a stalled connection by a new one.
      *
      * @param from one end
      * @param to the other end
@@ -45,11 +45,11 @@
     }
 
     /**
-     * Cuts a way, or heals it; while it is cut no connection works.
+     * Cuts or restores the route in one direction; nothing is delivered on a cut route.
      *
      * @param from one end
      * @param to the other end
-     * @param cut whether it is cut
+     * @param cut true to cut the route, false to restore it
      */
     public void cut(String from, String to, boolean cut) {
         if (cut) {
@@ -59,35 +59,35 @@
         }
     }
 
-    /** Heals all ways. */
+    /** Restores all cut routes. */
     public void heal() {
         cutRoutes.clear();
     }
 
     /**
-     * Whether something sent arrives.
+     * Returns whether traffic in one direction is delivered.
      *
      * @param from one end
      * @param to the other end
-     * @return false if it is lost
+     * @return false if the connection is stalled or the route is cut
      */
     public boolean isReachable(String from, String to) {
         return !silentConnections.contains(from + ">" + to) && !cutRoutes.contains(from + ">" + to);
     }
 
     /**
-     * Frames between nodes since the start.
+     * Returns the number of frames sent between nodes.
      *
-     * @return their number
+     * @return the count since the start, including lost frames
      */
     public long frames() {
         return frames;
     }
 
     /**
-     * Bytes between nodes since the start.
+     * Returns the number of bytes sent between nodes.
      *
-     * @return their number
+     * @return the count since the start, including lost frames
      */
     public long bytes() {
         return bytes;
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetNode.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetNode.java
@@ -9,7 +9,7 @@
 import org.parsleydrift.node.peer.PeerEnvelope;
 import org.parsleydrift.node.peer.PeerLinks;
 
-/** One VM of an in-memory fleet; it can be killed, paused and drained. */
+/** A node of an in-memory fleet that can be killed, paused and drained. */
 public final class FleetNode {
     private final Fleet fleet;
     private final NodeSettings settings;
@@ -54,29 +54,29 @@
         node = new Node(environment, settings);
     }
 
-    /** The process dies at once; its connections close. */
+    /** Kills the process immediately and closes its connections. */
     public void kill() {
         loop.kill();
         alive = false;
         upstreams.closeAll();
     }
 
-    /** The VM pauses; its connections stay open and silent. */
+    /** Pauses the VM; its connections stay open but carry no traffic. */
     public void pause() {
         paused = true;
         loop.pause();
     }
 
-    /** The VM goes on. */
+    /** Resumes a paused VM. */
     public void resume() {
         paused = false;
         loop.resume();
     }
 
     /**
-     * SIGTERM.
+     * Starts a drain, as SIGTERM does.
      *
-     * @return completes when the process would exit
+     * @return a future that completes when the process would exit
      */
     public CompletableFuture<Void> drain() {
         draining = true;
@@ -86,25 +86,25 @@
     }
 
     /**
-     * Runs a task on the node's loop.
+     * Runs a task on the node's event loop.
      *
-     * @param task what to run
+     * @param task the task, discarded if the process is killed first
      */
     public void run(Runnable task) {
         loop.execute(task);
     }
 
     /**
-     * The node's facade.
+     * Returns the node under test.
      *
-     * @return the node
+     * @return the node of the current process
      */
     public Node node() {
         return node;
     }
 
     /**
-     * Its settings.
+     * Returns the node's settings.
      *
      * @return the settings
      */
@@ -113,42 +113,43 @@
     }
 
     /**
-     * Whether the process is up.
+     * Returns whether the process is running.
      *
-     * @return true unless it was killed
+     * @return true unless it was killed; a paused process is running
      */
     public boolean isAlive() {
         return alive;
     }
 
     /**
-     * Whether it is paused.
+     * Returns whether the VM is paused.
      *
-     * @return true between freeze and thaw
+     * @return true between pause and resume
      */
     public boolean isPaused() {
         return paused;
     }
 
     /**
-     * Whether it drains.
+     * Returns whether a drain was started.
      *
-     * @return true after SIGTERM
+     * @return true from the start of a drain until a restart
      */
     public boolean isDraining() {
         return draining;
     }
 
     /**
-     * Checks that the manifest in force never goes back, over restarts as well; a process that has just begun has none
-     * and serves nothing.
+     * Verifies that the manifest generation never decreases, also across restarts. Generation 0 means that a new process
+     * has no manifest yet.
      *
-     * @throws AssertionError if it did
+     * @throws AssertionError if the generation decreased
      */
     public void checkGeneration() {
         long now = node.manifest().generation();
         if (now != 0 && now < highestGeneration) {
-            throw new AssertionError(settings.vm() + " went back from generation " + highestGeneration + " to " + now);
+            throw new AssertionError(
+                    settings.vm() + " manifest generation decreased from " + highestGeneration + " to " + now);
         }
         highestGeneration = Math.max(now, highestGeneration);
     }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetUpstreams.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetUpstreams.java
@@ -16,7 +16,7 @@
 import org.parsleydrift.kernel.upstream.TurnRequest;
 import org.parsleydrift.kernel.upstream.TurnResult;
 
-/** One node's connections to engines, tools and services. */
+/** Simulated connections of one node to engines, tools and services. */
 final class FleetUpstreams implements EngineClient, CallClient {
     private static final Duration DELAY = Duration.ofMillis(1);
     private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(4);
@@ -30,7 +30,7 @@
         this.vm = vm;
     }
 
-    /** The process died: its connections close, and engines end its streams. */
+    /** Closes all connections of a killed process; the engines cancel its turns. */
     void closeAll() {
         List.copyOf(open).forEach(Stream::cancel);
     }
@@ -74,8 +74,8 @@
         fleet.externalLoop()
                 .schedule(
                         timeout,
-                        () -> answer.completeExceptionally(
-                                new CallException(Step.CALL, upstream, CallFailure.UNKNOWN, false, "no answer")));
+                        () -> answer.completeExceptionally(new CallException(
+                                Step.CALL, upstream, CallFailure.UNKNOWN, false, "no answer within " + timeout)));
         if (fleet.network().isReachable(vm, upstream)) {
             fleet.externalLoop()
                     .schedule(
@@ -91,7 +91,7 @@
         return answer;
     }
 
-    /** A connection to an engine with one turn on it. */
+    /** A connection to an engine that carries one turn. */
     private final class Stream {
         private final String runner;
         private final Consumer<String> tokens;
@@ -99,7 +99,7 @@
         private Cancellable engineTurn = () -> {};
         private long lastTokenNanos;
         private boolean closed;
-        /** Once a piece is lost the connection stays silent: TCP does not go on behind a hole. */
+        /** Whether a token was lost; as with TCP, nothing after a lost token is delivered. */
         private boolean lost;
 
         private Stream(String runner, Consumer<String> tokens, CompletableFuture<TurnResult> done) {
@@ -145,8 +145,8 @@
                 }
                 if (fleet.scheduler().nanos() - lastTokenNanos > IDLE_TIMEOUT.toNanos()) {
                     cancel();
-                    done.completeExceptionally(
-                            new CallException(Step.TURN, runner, CallFailure.UNKNOWN, false, "silent"));
+                    done.completeExceptionally(new CallException(
+                            Step.TURN, runner, CallFailure.UNKNOWN, false, "no token within " + IDLE_TIMEOUT));
                 } else {
                     watchIdleTimeout();
                 }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/PromptGenerator.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/PromptGenerator.java
@@ -4,7 +4,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Random scripts for the stand-in engine: turns, tool calls of both kinds, sub-agents, waits. */
+/** Generates random scripts for the stand-in engine, with turns, tool calls, sub-agents and waits. */
 final class PromptGenerator {
     private static final int MAX_TURNS = 6;
     private static final int MAX_SAY = 8;
@@ -18,7 +18,7 @@
         this.random = random;
     }
 
-    /** The messages that the last prompt waits for. */
+    /** Returns the number of messages that the last generated prompt waits for. */
     int messages() {
         return messages;
     }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SlopesMain.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SlopesMain.java
@@ -7,8 +7,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Measures what control costs as the fleet and the number of programs grow, on in-memory fleets: {@code bin/bench
- * slopes}. Costs are per node and virtual second; processor time is that of the whole process, stand-ins among it.
+ * Measures how the overhead of control traffic scales with the number of nodes and programs, on in-memory fleets:
+ * {@code bin/bench slopes}. Costs are per node and virtual second; CPU time includes that of the stand-ins.
  */
 public final class SlopesMain {
     private static final Duration SETTLE_TIME = Duration.ofSeconds(5);
@@ -18,9 +18,9 @@
     private SlopesMain() {}
 
     /**
-     * Prints a table.
+     * Runs the measurements and prints a line for each.
      *
-     * @param arguments {@code --quick} for the smaller sizes only
+     * @param arguments {@code --quick} to run only the smaller sizes
      */
     public static void main(String[] arguments) {
         boolean quick = List.of(arguments).contains("--quick");
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/Soak.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/Soak.java
@@ -13,7 +13,7 @@
 import org.parsleydrift.standin.StandInEngine;
 import org.parsleydrift.standin.ToolFaults;
 
-/** A randomised run: thousands of programs under faults of every kind, checked against what must always hold. */
+/** A randomised run: executes programs under injected faults and verifies the scheduler's invariants. */
 public final class Soak {
     private static final Duration STEP = Duration.ofMillis(100);
     private static final Duration MEAN_FAULT_PAUSE = Duration.ofMillis(400);
@@ -30,9 +30,9 @@
     private final List<String> violations = new ArrayList<>();
 
     /**
-     * Makes a run.
+     * Creates a run.
      *
-     * @param options seed, size and faults
+     * @param options the seed, size and faults
      */
     public Soak(SoakOptions options) {
         this.options = options;
@@ -41,9 +41,9 @@
     }
 
     /**
-     * Runs to the end.
+     * Runs all programs, removes the faults and verifies the invariants.
      *
-     * @return what was found
+     * @return the report with any violations
      */
     public SoakReport run() {
         fleet.submit(fleet.manifest(64));
@@ -64,7 +64,8 @@
                 lastProgressNanos = fleet.scheduler().nanos();
             }
             if (fleet.scheduler().nanos() - lastProgressNanos > PROGRESS_TIMEOUT.toNanos()) {
-                activeCallers.forEach(caller -> violations.add("stuck: " + caller.id()));
+                activeCallers.forEach(caller -> violations.add(
+                        "no program ended within " + PROGRESS_TIMEOUT + ", still running: " + caller.id()));
                 break;
             }
         }
@@ -87,7 +88,7 @@
     }
 
     /**
-     * The fleet, for a look after the run.
+     * Returns the fleet for inspection after the run.
      *
      * @return the fleet
      */
@@ -109,16 +110,16 @@
             if (caller.refusal().kind() == RefusalKind.NOT_RUN) {
                 refusedNotRun.put(String.valueOf(caller.id()), caller);
             } else {
-                violations.add("refused: " + caller.id() + " " + caller.refusal());
+                violations.add("unexpected refusal: " + caller.id() + " " + caller.refusal());
             }
             return;
         }
         ends.merge(caller.answer().end(), 1, Integer::sum);
         if ("complete".equals(caller.answer().end()) && !caller.describeFault().isEmpty()) {
-            violations.add("answer: " + caller.id() + " " + caller.describeFault());
+            violations.add("wrong answer: " + caller.id() + " " + caller.describeFault());
         }
         if (Set.of("failed", "loop", "cancelled").contains(caller.answer().end())) {
-            violations.add("end: " + caller.id() + " " + caller.describeFault());
+            violations.add("unexpected end: " + caller.id() + " " + caller.describeFault());
         }
     }
 
@@ -141,23 +142,23 @@
                 .forEach(node -> node.node().programs().values().stream()
                         .filter(state -> !state.hasEnded())
                         .filter(state -> refusedNotRun.containsKey(state.id().toString()))
-                        .forEach(state -> violations.add("refused as not run, and runs: " + state.id())));
+                        .forEach(state -> violations.add("refused as not run, but is running: " + state.id())));
     }
 
-    /** No effect twice, and none of a program that was refused as not run. */
+    /** Verifies that non-idempotent calls ran at most once, and none of a program refused as not run. */
     private void checkEffects() {
         effects().forEach((effect, count) -> {
             if (count > 1 && effect.endsWith(" once")) {
-                violations.add("doubled " + count + " times: " + effect);
+                violations.add("non-idempotent call ran " + count + " times: " + effect);
             }
             String program = effect.substring(0, effect.indexOf('/'));
             if (refusedNotRun.containsKey(program)) {
-                violations.add("refused as not run, and ran: " + effect);
+                violations.add("refused as not run, but a call ran: " + effect);
             }
         });
     }
 
-    /** The non-idempotent calls of an agent ran in the order of its turns. */
+    /** Verifies that the non-idempotent calls of an agent ran in the order of its turns. */
     private void checkOrder() {
         Map<String, Long> first = new HashMap<>();
         fleet.tools().values().forEach(tool -> first.putAll(tool.firstNanos()));
@@ -171,24 +172,25 @@
                     String place = String.format("%06d/%06d", Integer.parseInt(parts[2]), Integer.parseInt(parts[3]));
                     String before = lastByAgent.put(agent, place);
                     if (before != null && before.compareTo(place) > 0) {
-                        violations.add("order: " + entry.getKey() + " after " + before);
+                        violations.add("call out of order: " + entry.getKey() + " ran after " + before);
                     }
                 });
     }
 
-    /** Engines hold nothing of programs that are over, and generated no more than budgets allow. */
+    /** Verifies that engines released all memory and generated no more tokens than budgets allow. */
     private void checkEngines() {
         Map<String, Long> generated = new HashMap<>();
         for (StandInEngine engine : fleet.engines().values()) {
-            engine.memory().forEach(held -> violations.add("memory held: " + held));
+            engine.memory().forEach(held -> violations.add("engine memory not released: " + held));
             engine.generated().forEach((owner, tokens) -> generated.merge(owner, tokens, Long::sum));
         }
         generated.forEach((owner, tokens) -> {
             if (tokens > PROMPT_BUDGET_TOKENS) {
-                violations.add("budget: " + owner + " generated " + tokens);
+                violations.add("budget exceeded: " + owner + " generated " + tokens + " tokens, limit "
+                        + PROMPT_BUDGET_TOKENS);
             }
             if (refusedNotRun.containsKey(owner)) {
-                violations.add("refused as not run, and generated: " + owner);
+                violations.add("refused as not run, but generated tokens: " + owner);
             }
         });
     }
@@ -199,7 +201,7 @@
                 .distinct()
                 .count();
         if (generations != 1) {
-            violations.add("manifest generations differ: " + generations);
+            violations.add("live nodes have " + generations + " distinct manifest generations, expected 1");
         }
     }
 
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SoakMain.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SoakMain.java
@@ -13,7 +13,7 @@
 import org.parsleydrift.kernel.RuntimeClock;
 import org.parsleydrift.kernel.SystemClock;
 
-/** Runs randomised runs: {@code bin/soak --seed N --programs N}. */
+/** Command-line entry point of randomised runs: {@code bin/soak --seed N --programs N}. */
 public final class SoakMain {
     private static final int EXIT_USAGE = 2;
     private static final int PROGRAMS_PER_RUN = 2000;
@@ -22,10 +22,10 @@
     private SoakMain() {}
 
     /**
-     * Runs and prints one line per run, then a sum; exits with 1 if anything was violated.
+     * Prints one line per run and a total; exits with 1 if an invariant was violated, with 2 on invalid arguments.
      *
      * @param arguments see {@code --help}
-     * @throws IOException if help can't be printed
+     * @throws IOException if the help can't be printed
      */
     public static void main(String[] arguments) throws IOException {
         OptionParser parser = new OptionParser();
@@ -33,11 +33,11 @@
                 .withRequiredArg()
                 .ofType(Long.class)
                 .defaultsTo(1L);
-        OptionSpec<Integer> programs = parser.accepts("programs", "programs in all")
+        OptionSpec<Integer> programs = parser.accepts("programs", "total number of programs")
                 .withRequiredArg()
                 .ofType(Integer.class)
                 .defaultsTo(PROGRAMS_PER_RUN);
-        OptionSpec<String> kinds = parser.accepts("faults", "kinds of fault by commas; all if absent, none for none")
+        OptionSpec<String> kinds = parser.accepts("faults", "comma-separated kinds of fault, or none; all by default")
                 .withRequiredArg();
         parser.accepts("help", "print this").forHelp();
         OptionSet options;
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SoakOptions.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SoakOptions.java
@@ -4,20 +4,20 @@
 import java.util.Set;
 
 /**
- * A randomised run.
+ * Options of a randomised run.
  *
- * @param seed seed of all chance
- * @param nodes nodes
- * @param programs programs in all
- * @param maxConcurrent programs under way at once
- * @param faults faults to bring about
+ * @param seed seed of the random generator
+ * @param nodes number of nodes
+ * @param programs total number of programs
+ * @param maxConcurrent maximum number of programs that run concurrently
+ * @param faults kinds of fault to inject
  */
 public record SoakOptions(long seed, int nodes, int programs, int maxConcurrent, Set<FaultKind> faults) {
     /**
-     * A run with faults of every kind.
+     * Creates the options of a run with faults of every kind.
      *
-     * @param seed seed of all chance
-     * @param programs programs in all
+     * @param seed seed of the random generator
+     * @param programs total number of programs
      * @return the options
      */
     public static SoakOptions withAllFaults(long seed, int programs) {
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SoakReport.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SoakReport.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * What a randomised run found.
+ * The result of a randomised run.
  *
- * @param seed its seed
- * @param programs programs submitted
- * @param ends programs by how they ended
- * @param faults faults by kind
- * @param calls effects of tool calls
- * @param unknown calls that ended with an unknown outcome
- * @param platform calls of the platform
- * @param virtualSeconds virtual time that it took
- * @param violations what must not be; the first few in full
+ * @param seed seed of the run
+ * @param programs number of programs submitted
+ * @param ends number of programs by end state
+ * @param faults number of injected faults by kind
+ * @param calls number of tool calls that took effect
+ * @param unknown number of calls with an unknown outcome
+ * @param platform number of platform requests by kind
+ * @param virtualSeconds duration in virtual time, s
+ * @param violations descriptions of violated invariants
  */
 public record SoakReport(
         long seed,
@@ -27,7 +27,7 @@
         long virtualSeconds,
         List<String> violations) {
     /**
-     * The report as one line of key=value pairs, faults summed.
+     * Formats the report as key=value pairs, with the total number of faults.
      *
      * @return the line
      */
