--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionRun.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionRun.java
@@ -16,18 +16,18 @@
 import org.parsleydrift.registry.Runner;
 
 /**
- * One run of a policy: programs come to entry nodes at random, each node knows its own requests and what the others told
- * last, and places turns at model engines. The same seed gives the same programs to every policy.
+ * A simulation of one placement policy. Turns arrive at random entry nodes, which place them on modelled engines by their
+ * own requests and the loads last published by their peers. The same seed gives the same programs to every policy.
  */
 public final class DecisionRun {
     private static final double SECONDS = 25;
-    /** Time for programs to end after the last began, ms. */
+    /** Time for programs to complete after the last arrival, ms. */
     private static final double END_MILLIS = 60_000;
-    /** Way between caller, node and engine and back, ms. */
+    /** Network time between caller, node and engine in each direction, ms. */
     private static final double NETWORK_DELAY_MILLIS = 20;
-    /** Past this wait a turn goes to any engine with room, ms. */
+    /** Wait after which a turn is placed on any engine with a free slot, ms. */
     private static final double MAX_CACHE_WAIT_MILLIS = 720;
-    /** Weight of the newest placement in what is usually read. */
+    /** Weight of the latest placement in the moving average of uncached tokens. */
     private static final double UNCACHED_MEAN_WEIGHT = 0.05;
 
     private static final double INITIAL_MEAN_UNCACHED_TOKENS = 500;
@@ -48,7 +48,7 @@
     private int placements;
     private long promptTokens;
 
-    /** An entry node. */
+    /** An entry node that places turns by its own view of the loads. */
     private final class Node {
         private final int[] ownLoad = new int[shape.engines()];
         private final int[] publishedLoad = new int[shape.engines()];
@@ -101,7 +101,7 @@
         }
     }
 
-    /** A turn on its way. */
+    /** A turn that waits for placement or runs on an engine. */
     private final class Turn {
         private final String program;
         private final TurnScript script;
@@ -145,13 +145,13 @@
     }
 
     /**
-     * Runs a policy.
+     * Simulates a policy until all programs end or the time limit is reached.
      *
-     * @param policy the policy
-     * @param pattern the load
-     * @param shape the fleet
-     * @param seed seed of programs and ties
-     * @return how it went
+     * @param policy the placement policy
+     * @param pattern the load pattern
+     * @param shape the size of the fleet
+     * @param seed seed of the programs and of tie-breaking
+     * @return the result of the run
      */
     public static RunResult run(Policy policy, LoadPattern pattern, FleetShape shape, long seed) {
         DecisionRun run = new DecisionRun(policy, pattern, shape, seed);
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionsMain.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionsMain.java
@@ -10,7 +10,7 @@
 import joptsimple.OptionSet;
 import joptsimple.OptionSpec;
 
-/** Compares policies of placement over many seeds on model engines: {@code bin/bench decisions --help}. */
+/** Compares placement policies over many seeds on modelled engines: {@code bin/bench decisions --help}. */
 public final class DecisionsMain {
     private static final List<Policy> POLICIES = List.of(
             new Policy.RoundRobin(),
@@ -26,7 +26,7 @@
 
     private static final double USUAL_RATE = 18;
 
-    /** Loads that the policies are compared on. */
+    /** Load patterns that the policies are compared on. */
     static final List<LoadPattern> PATTERNS = List.of(
             new LoadPattern("usual", USUAL_RATE, 1, 0, 0, 1),
             new LoadPattern("burst", USUAL_RATE, 1.8, 6, 0, 1),
@@ -36,18 +36,19 @@
     private DecisionsMain() {}
 
     /**
-     * Prints a table, and a line of JSON for each policy and pattern.
+     * Prints a line of JSON for each policy and pattern; exits with 2 on invalid arguments.
      *
      * @param arguments see {@code --help}
      * @throws IOException if the help can't be printed
      */
     public static void main(String[] arguments) throws IOException {
         OptionParser parser = new OptionParser();
-        OptionSpec<Integer> seeds = parser.accepts("seeds", "runs of each policy and pattern")
+        OptionSpec<Integer> seeds = parser.accepts("seeds", "number of runs of each policy and pattern")
                 .withRequiredArg()
                 .ofType(Integer.class)
                 .defaultsTo(20);
-        OptionSpec<String> only = parser.accepts("pattern", "one pattern only").withRequiredArg();
+        OptionSpec<String> only =
+                parser.accepts("pattern", "name of the only pattern to run").withRequiredArg();
         OptionSpec<String> fleet =
                 parser.accepts("fleet", "small or large").withRequiredArg().defaultsTo("small");
         OptionSpec<Void> help = parser.accepts("help", "print this").forHelp();
@@ -71,7 +72,7 @@
                 .filter(each -> each.name().equals(name))
                 .findFirst()
                 .orElseGet(() -> {
-                    System.err.println("decisions: no fleet '" + name + "'; small or large");
+                    System.err.println("decisions: unknown fleet '" + name + "', expected small or large");
                     System.exit(2);
                     return FleetShape.small();
                 });
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/EngineModel.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/EngineModel.java
@@ -10,7 +10,7 @@
 import java.util.function.DoubleUnaryOperator;
 import org.parsleydrift.placement.PromptPart;
 
-/** A model engine: batched steps, prompts read in chunks between them, a memory of parts that gives way by last use. */
+/** A model of an inference engine with continuous batching, chunked prefill and an LRU cache of prompt parts. */
 final class EngineModel {
     private final EngineParameters figures;
     private final VirtualTime time;
@@ -21,7 +21,7 @@
     private boolean stepping;
     private long prefillTokens;
 
-    /** One request at an engine. */
+    /** A request queued or running on an engine. */
     static final class Run {
         private final List<PromptPart> prompt;
         private final int output;
@@ -37,7 +37,7 @@
             this.done = done;
         }
 
-        /** Mean time between tokens, ms; 0 for less than two. */
+        /** Returns the mean time between tokens in ms, or 0 for fewer than two tokens. */
         double millisPerToken() {
             return generatedTokens < 2 ? 0 : (lastTokenMillis - firstTokenMillis) / (generatedTokens - 1);
         }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/EngineParameters.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/EngineParameters.java
@@ -1,15 +1,15 @@
 package org.parsleydrift.bench.decisions;
 
 /**
- * What a model engine can do.
+ * Performance parameters of a modelled engine.
  *
- * @param slots requests in a batch
- * @param stepMillis time of a step of an empty batch, ms; each step makes a token of each request
- * @param stepMillisPerRequest what each request adds to a step, ms
- * @param stepMillisPerThousandTokens what each thousand tokens of context add to a step, ms
- * @param prefillTokensPerMilli prompt tokens that are read in a ms, while all others in the batch wait
- * @param prefillChunkTokens prompt tokens that are read in one step at most
- * @param cacheTokens tokens that fit into its memory
+ * @param slots maximum batch size, requests
+ * @param stepMillis base duration of a step, ms; a step generates one token per request
+ * @param stepMillisPerRequest additional step duration per request in the batch, ms
+ * @param stepMillisPerThousandTokens additional step duration per 1000 tokens of context, ms
+ * @param prefillTokensPerMilli prefill throughput, tokens per ms; prefill delays the whole batch
+ * @param prefillChunkTokens maximum number of prompt tokens processed in a step
+ * @param cacheTokens capacity for running requests and cached parts, tokens
  */
 public record EngineParameters(
         int slots,
@@ -20,18 +20,18 @@
         int prefillChunkTokens,
         int cacheTokens) {
     /**
-     * A mid-sized engine: a large model on two accelerators, with a batch of sixteen.
+     * Returns the parameters of a mid-sized engine: a large model on two accelerators, with 16 slots.
      *
-     * @return its figures
+     * @return the parameters
      */
     public static EngineParameters standard() {
         return new EngineParameters(16, 2.3, 0.006, 0.008, 83, 2048, 134_000);
     }
 
     /**
-     * The same with a batch of six, as a larger model leaves room for.
+     * Returns the parameters of the same engine with a larger model, which leaves memory for 6 slots.
      *
-     * @return its figures
+     * @return the parameters
      */
     public static EngineParameters smallBatch() {
         return new EngineParameters(6, 2.3, 0.006, 0.008, 83, 2048, 54_000);
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/FleetShape.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/FleetShape.java
@@ -3,17 +3,17 @@
 /**
  * The size of a modelled fleet.
  *
- * @param name its name
- * @param nodes entry nodes, each of which places by itself
- * @param engines model engines
- * @param figures what each engine can do
- * @param loadReportMillis period in which nodes learn each other's loads, ms; until then they see what was told last
- * @param rateFactor usual programs a second, in multiples of those of the small fleet
+ * @param name name as given to the {@code --fleet} option
+ * @param nodes number of entry nodes, each of which places turns independently
+ * @param engines number of engines
+ * @param figures performance parameters of each engine
+ * @param loadReportMillis interval at which nodes publish their loads to each other, ms
+ * @param rateFactor arrival rate relative to that of the small fleet
  */
 public record FleetShape(
         String name, int nodes, int engines, EngineParameters figures, double loadReportMillis, double rateFactor) {
     /**
-     * A few nodes that tell each other directly, before a few large engines.
+     * Returns a fleet of a few nodes that exchange loads directly, and a few engines with many slots.
      *
      * @return the shape
      */
@@ -22,8 +22,7 @@
     }
 
     /**
-     * Many nodes whose loads go by way of hubs, before many engines with few slots: as many slots a node as above, and
-     * views three times as old.
+     * Returns a fleet of many nodes that exchange loads through hubs, and many engines with few slots.
      *
      * @return the shape
      */
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/LoadPattern.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/LoadPattern.java
@@ -1,14 +1,14 @@
 package org.parsleydrift.bench.decisions;
 
 /**
- * What comes upon the engines.
+ * A load pattern with an optional burst and slow engines.
  *
- * @param name its name
- * @param programsPerSecond the usual rate
- * @param burstFactor by how much the rate grows from 5 s on
- * @param burstSeconds for how long, s
- * @param slowEngines engines that turn slow for the time of the burst
- * @param slowFactor how many times slower
+ * @param name name as given to the {@code --pattern} option
+ * @param programsPerSecond arrival rate outside the burst, programs per second
+ * @param burstFactor factor of the arrival rate during the burst, which begins at 5 s
+ * @param burstSeconds duration of the burst, s
+ * @param slowEngines number of engines that are slow during the burst
+ * @param slowFactor factor of the step duration of slow engines
  */
 public record LoadPattern(
         String name,
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/Policy.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/Policy.java
@@ -8,51 +8,51 @@
 import org.parsleydrift.placement.Candidate;
 import org.parsleydrift.placement.RunnerChoice;
 
-/** A way to choose the engine of a turn. */
+/** A policy that chooses the engine of a turn. */
 public sealed interface Policy {
-    /** Engines in turn, whatever their load. */
+    /** Chooses engines with a free slot in rotation, regardless of load. */
     record RoundRobin() implements Policy {}
 
-    /** The least loaded, whatever it has read. */
+    /** Chooses the least loaded engine, regardless of its cache. */
     record LeastLoaded() implements Policy {}
 
-    /** The engine of the program's last turn while it has a place, else the least loaded. */
+    /** Chooses the engine of the program's last turn if it has a free slot, otherwise the least loaded. */
     record Sticky() implements Policy {}
 
-    /** The engine of the program's last turn while it has at most one request more than the least loaded. */
+    /** Chooses the last engine if it has at most one request more than the least loaded, otherwise the least loaded. */
     record OneMore() implements Policy {}
 
     /**
-     * The product's own, {@link RunnerChoice}, with its mechanisms one by one.
+     * The scheduler's cache-aware policy, {@link RunnerChoice}, whose mechanisms can be disabled one by one.
      *
-     * @param heard whether it knows from the grants what engines hold by other nodes' turns
-     * @param waits whether a turn waits for a full engine that holds its prompt
-     * @param drawn engines that hold nothing of the prompt and are drawn by lot; 0 for all. The product draws two
+     * @param heard whether grants tell which parts engines cached in turns placed by other nodes
+     * @param waits whether a turn waits for a full engine that caches its prompt
+     * @param drawn number of randomly sampled engines without a cached part of the prompt; 0 for all of them
      */
     record HeldParts(boolean heard, boolean waits, int drawn) implements Policy {
-        /** All mechanisms at work. */
+        /** Creates the policy with the scheduler's settings. */
         public HeldParts() {
             this(true, true, 2);
         }
     }
 
     /**
-     * Whether turns are placed with what the grants say.
+     * Returns whether placement uses the cached parts reported by grants.
      *
-     * @return false where that mechanism is off
+     * @return false if that mechanism is disabled
      */
     default boolean usesGrants() {
         return !(this instanceof HeldParts parts) || parts.heard();
     }
 
     /**
-     * What is known when a turn is placed.
+     * The input of a placement decision.
      *
-     * @param candidates the engines
-     * @param lastEngine the life of the engine of the program's last turn; empty for none
-     * @param meanUncachedTokens tokens that a usual turn has to read
-     * @param isWaitExhausted whether the turn has waited nearly as long as it may
-     * @param placementCount counts placements
+     * @param candidates all engines with their load and uncached tokens
+     * @param lastEngine incarnation of the engine of the program's last turn; empty before the first
+     * @param meanUncachedTokens moving average of the uncached tokens of a placed turn
+     * @param isWaitExhausted whether the turn exceeded its maximum wait for a caching engine
+     * @param placementCount number of placements made so far
      */
     record PlacementContext(
             List<Candidate> candidates,
@@ -62,11 +62,11 @@
             int placementCount) {}
 
     /**
-     * Chooses an engine.
+     * Chooses an engine for a turn.
      *
-     * @param situation what is known
-     * @param random breaks ties
-     * @return the engine; empty to wait
+     * @param situation the input of the decision
+     * @param random random generator for tie-breaking and sampling
+     * @return the engine, or empty if the turn must wait
      */
     default Optional<Candidate> choose(PlacementContext situation, RandomGenerator random) {
         return switch (this) {
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/ProgramScript.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/ProgramScript.java
@@ -6,14 +6,14 @@
 import java.util.stream.IntStream;
 
 /**
- * A program drawn before a run.
+ * A randomly generated program, fixed before a run.
  *
- * @param id its id
- * @param beginMillis when its first turn comes, ms
- * @param sharedPart the part that its prompts begin with
- * @param sharedTokens tokens of that part
- * @param turns its main line
- * @param targetMillis time within which it is of full worth, ms
+ * @param id id of the program, unique in the run
+ * @param beginMillis arrival time of the first turn, ms
+ * @param sharedPart id of the shared prefix of its prompts
+ * @param sharedTokens length of the shared prefix, tokens
+ * @param turns turns of the main agent, in order
+ * @param targetMillis target completion time, ms
  */
 public record ProgramScript(
         String id,
@@ -22,13 +22,13 @@
         int sharedTokens,
         List<TurnScript> turns,
         double targetMillis) {
-    /** Multiple of its time on idle engines that a program may take. */
+    /** Ratio of the target completion time to the time on idle engines. */
     private static final double TARGET_FACTOR = 1.5;
-    /** Added to that, ms. */
+    /** Constant part of the target completion time, ms. */
     private static final double TARGET_SLACK_MILLIS = 250;
-    /** The way of a turn between caller and engine, ms. */
+    /** Network time of a turn between caller and engine, ms. */
     private static final double NETWORK_DELAY_MILLIS = 36;
-    /** Distinct parts that prompts begin with. */
+    /** Number of distinct shared prefixes. */
     private static final int SHARED_PARTS = 16;
 
     private static final int SHARED_TOKENS = 512;
@@ -36,12 +36,12 @@
     private static final int MAX_OUTPUT_TOKENS = 286;
 
     /**
-     * Draws a program: three in ten are long dialogues of short inputs with many sub-agents, the others shorter.
+     * Generates a program; 30% are long dialogues with short inputs and many sub-agents.
      *
-     * @param id its id
-     * @param beginMillis when it begins, ms
-     * @param random the draws
-     * @param figures the engine that its time on idle engines is reckoned with
+     * @param id id of the program, unique in the run
+     * @param beginMillis arrival time, ms
+     * @param random the random generator
+     * @param figures engine parameters for the estimated time on idle engines
      * @return the program
      */
     static ProgramScript draw(String id, double beginMillis, RandomGenerator random, EngineParameters figures) {
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/RunResult.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/RunResult.java
@@ -1,15 +1,15 @@
 package org.parsleydrift.bench.decisions;
 
 /**
- * How the programs of one run ended.
+ * Completion times and prefill work of a run.
  *
- * @param programs all
- * @param inTime ended within their target time
- * @param late ended within twice that
- * @param promptTokens tokens of all prompts
- * @param prefillTokens those that engines had to read
- * @param turnMedianMillis median time of a turn, waits included, ms
- * @param turnP99Millis its 99th percentile, ms
+ * @param programs number of programs started
+ * @param inTime programs that completed within their target time
+ * @param late programs that completed within twice their target time, excluding those in time
+ * @param promptTokens total tokens of all prompts
+ * @param prefillTokens prompt tokens that were not cached
+ * @param turnMedianMillis median turn latency including waits, ms
+ * @param turnP99Millis 99th percentile of the turn latency, ms
  */
 public record RunResult(
         int programs,
@@ -20,18 +20,18 @@
         double turnMedianMillis,
         double turnP99Millis) {
     /**
-     * Worth of the programs: one in time counts whole, a late one half.
+     * Returns the mean score of the programs: 1 if completed in time, 0.5 if late, otherwise 0.
      *
-     * @return from 0 to 1
+     * @return a value from 0 to 1; 0 without programs
      */
     public double worth() {
         return programs == 0 ? 0 : (inTime + 0.5 * late) / programs;
     }
 
     /**
-     * Share of the prompts' tokens that were read.
+     * Returns the share of prompt tokens that were not cached.
      *
-     * @return from 0 to 1
+     * @return a value from 0 to 1; 0 without prompts
      */
     public double readShare() {
         return promptTokens == 0 ? 0 : (double) prefillTokens / promptTokens;
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/TurnScript.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/TurnScript.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * One turn of a program, drawn before a run so that all policies meet the same programs.
+ * One turn of a program, generated before a run so that all policies serve the same programs.
  *
- * @param newTokens tokens that its caller adds to the line
- * @param outputTokens tokens that the engine makes
- * @param nodeDraw a number from 0 to 1, not 1, for the entry node that it comes to
- * @param pauseMillis what its caller does before the next turn, ms
- * @param subAgents lines of turns that run side by side after it, before the next turn
+ * @param newTokens prompt tokens added by the caller
+ * @param outputTokens number of tokens that the engine generates
+ * @param nodeDraw random number in [0, 1) that selects the entry node
+ * @param pauseMillis time until the caller starts the next turn, ms
+ * @param subAgents turns of each sub-agent; sub-agents run concurrently between this turn and the next
  */
 public record TurnScript(
         int newTokens, int outputTokens, double nodeDraw, double pauseMillis, List<List<TurnScript>> subAgents) {
-    /** Copies the lists. */
+    /** Makes defensive copies of the lists. */
     public TurnScript {
         subAgents = subAgents.stream().map(List::copyOf).toList();
     }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/VirtualTime.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/VirtualTime.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** The clock and the events of one run. */
+/** The virtual clock and event queue of a run. */
 final class VirtualTime {
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingDouble(Event::atMillis).thenComparingLong(Event::order));
@@ -24,7 +24,7 @@
         events.add(new Event(millis + delayMillis, order++, task));
     }
 
-    /** Runs events until none is left or the end is reached. */
+    /** Runs events up to and including the end time. */
     void runUntil(double endMillis) {
         while (!events.isEmpty() && events.peek().atMillis() <= endMillis) {
             Event next = events.poll();
--- a/parsleydrift-bench/src/test/java/org/parsleydrift/bench/PromiseTest.java
+++ b/parsleydrift-bench/src/test/java/org/parsleydrift/bench/PromiseTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The promises of the brief under single failures, on an in-memory fleet (docs/PROMISES.md). */
+/** Guarantees of the scheduler under single faults, on an in-memory fleet (docs/PROMISES.md). */
 public class PromiseTest {
     private static final String DEBATE = "d <say 4 / say 3, tool once {\"n\":1} / say 3, spawn a <say 2, end>,"
             + " spawn a <say 3, tool often {\"n\":2} / say 2, end> / say 3, tool once {\"n\":3} / say 2, end>";
@@ -41,10 +41,7 @@
         assertNoDoubledEffect();
     }
 
-    /**
-     * Symptom: a half-argued debate never ends, or its registry number is assigned twice. Events: each node in turn dies
-     * at a random point of many programs' turns and calls, and comes back with nothing. Cause: state kept in a process.
-     */
+    /** Guards against lost programs and repeated non-idempotent calls when each node in turn is killed and restarted. */
     @Test
     public void killedOwnerLosesNothingAndDoublesNothing() {
         List<FleetCaller> callers = begin(40, DEBATE, 0);
@@ -60,10 +57,7 @@
         assertNoDoubledEffect();
     }
 
-    /**
-     * Symptom: a crew is sent twice, or after the steps that follow. Events: the owner pauses for longer than it takes
-     * the others to seal its journal, then wakes with intents in hand. Cause: a right to act that lapsed unnoticed.
-     */
+    /** Guards against calls by an owner that resumes after its peers have sealed its journal. */
     @Test
     public void pausedOwnerWakesAndIsFenced() {
         List<FleetCaller> callers = begin(40, DEBATE, 0);
@@ -80,10 +74,7 @@
                 Duration.ofSeconds(10), () -> !owner.node().status().node().equals(before));
     }
 
-    /**
-     * Symptom: a number is assigned twice after a crash. Events: the tool runs the call, its answer is lost, the owner
-     * dies before it gives up waiting. Cause: a successor that sends an intent without an outcome again.
-     */
+    /** Guards against a successor that repeats a non-idempotent call whose outcome is unknown. */
     @Test
     public void intentWithoutOutcomeIsNeverSentAgain() {
         fleet.tools().values().forEach(tool -> tool.faults(new ToolFaults(false, false, 1.0)));
@@ -96,10 +87,7 @@
         assertEquals(effects().values().stream().mapToInt(each -> each).sum(), 1);
     }
 
-    /**
-     * Symptom: after a short loss of the platform's answers, programs stand still or run twice. Events: changes take
-     * effect and their answers are lost, for segments, node records and manifests alike. Cause: a write taken for failed.
-     */
+    /** Guards against treating a write as failed when it took effect and only the platform's response was lost. */
     @Test
     public void lostAnswersOfThePlatformAreReadBack() {
         fleet.store().faults(new PlatformFaults(false, 0, 0.5, true, 0));
@@ -111,10 +99,7 @@
         assertNoDoubledEffect();
     }
 
-    /**
-     * Symptom: a caller is told "not run" and the crew comes all the same. Events: the platform is down for ten minutes
-     * under load. Cause: a refusal given after something was handed to the journal.
-     */
+    /** Guards against effects of programs that were refused as not run during a platform outage. */
     @Test
     public void outageRefusesTruthfullyAndRunsOnAfterwards() {
         List<FleetCaller> early = begin(10, DEBATE, 0);
@@ -135,10 +120,7 @@
         assertNoDoubledEffect();
     }
 
-    /**
-     * Symptom: all requests across one pair of nodes hang although both are well. Events: open connections between all
-     * nodes fall silent for good; new ones work. Cause: a connection trusted for ever.
-     */
+    /** Guards against requests that hang on stalled connections between healthy nodes. */
     @Test
     public void silentConnectionsAreReplaced() {
         List<FleetCaller> callers = begin(20, DEBATE, 0);
@@ -151,10 +133,7 @@
         assertAllWhole(callers);
     }
 
-    /**
-     * Symptom: a restart cuts answers. Events: every node in turn is drained and replaced under load. Cause: a process
-     * that exits with programs or callers in hand.
-     */
+    /** Guards against a drained process that exits before its programs and callers have moved to other nodes. */
     @Test
     public void drainOfEveryNodeCutsNothing() {
         List<FleetCaller> callers = new ArrayList<>();
@@ -174,10 +153,7 @@
         assertNoDoubledEffect();
     }
 
-    /**
-     * Symptom: a dead node's programs stand still, and it is suspected again and again without end. Events: a node dies;
-     * each of the others is told by another that it was heard. Cause: hearsay taken for hearing.
-     */
+    /** Guards against peers that keep a dead node alive by relaying outdated reports of its heartbeats. */
     @Test
     public void deadNodeIsNotKeptAliveByPeerReports() {
         FleetNode dead = fleet.nodes().getFirst();
@@ -189,10 +165,7 @@
                         .noneMatch(peer -> peer.node().equals(name))));
     }
 
-    /**
-     * Symptom: engine memory fills with programs nobody knows. Events: owners die with streams and cached prefixes on
-     * the engines; programs end. Cause: only the dead node knew what to free.
-     */
+    /** Guards against engine memory that is never released after the owner of its programs died. */
     @Test
     public void engineMemoryOfGoneProgramsIsFreed() {
         List<FleetCaller> callers = begin(20, DEBATE, 0);
@@ -204,10 +177,7 @@
         fleet.engines().values().forEach(engine -> assertEquals(engine.memory(), List.of()));
     }
 
-    /**
-     * Symptom: a leaving engine gets turns until it is gone, and they break. Events: an engine refuses as leaving under
-     * load. Cause: a list of VMs that lags is the only thing looked at.
-     */
+    /** Guards against turns sent to an engine that is leaving but still listed by the platform. */
     @Test
     public void leavingEngineGetsNothingNew() {
         var leaving = fleet.engines().values().iterator().next();
@@ -218,10 +188,7 @@
         assertEquals(leaving.turnsAccepted(), 0);
     }
 
-    /**
-     * Symptom: two operators both believe that theirs is in force. Events: manifests are submitted to all nodes at one
-     * moment, each expecting the present generation. Cause: an update without a condition.
-     */
+    /** Guards against concurrent manifest updates that are both accepted for the same expected generation. */
     @Test
     public void racingManifestsHaveOneWinner() {
         int[] won = {0};
@@ -244,10 +211,7 @@
         fleet.liveNodes().forEach(node -> assertEquals(node.node().manifest().generation(), 2));
     }
 
-    /**
-     * Symptom: a node that starts during an outage serves an old manifest or none. Events: the platform is down, a node
-     * starts and has only peers to ask. Cause: the platform as the only source.
-     */
+    /** Guards against a node that can't obtain the manifest when it starts during a platform outage. */
     @Test
     public void nodeThatStartsInAnOutageAsksItsPeers() {
         fleet.store().faults(new PlatformFaults(true, 0, 0, false, 0));
@@ -255,13 +219,10 @@
         late.run(() -> late.node()
                 .setSeedPeers(List.of(fleet.nodes().getFirst().settings().link())));
         fleet.awaitTrue(Duration.ofSeconds(30), () -> late.node().manifest().generation() == 1);
-        assertFalse(late.node().isReady(), "it must not own programs before it is registered");
+        assertFalse(late.node().isReady(), "an unregistered node must not be ready");
     }
 
-    /**
-     * Symptom: a program loops without end and burns an engine. Events: the model asks for the same call again and
-     * again, or never ends. Cause: a limit that is checked nowhere.
-     */
+    /** Guards against programs that repeat the same call or exceed their budget without being stopped. */
     @Test
     public void loopsAndEndlessProgramsAreStopped() {
         String same = "say 1, tool often {\"n\":1} / ";
--- a/parsleydrift-bench/src/test/java/org/parsleydrift/bench/SoakTest.java
+++ b/parsleydrift-bench/src/test/java/org/parsleydrift/bench/SoakTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Short randomised runs with faults of every kind; {@code bin/soak} makes long ones. */
+/** Short randomised runs with faults of every kind; {@code bin/soak} executes long ones. */
 public class SoakTest {
     @DataProvider
     public Object[][] seeds() {
@@ -14,9 +14,8 @@
     }
 
     /**
-     * Symptom: anything that must always hold does not. Events: nodes die, pause and drain, connections fall silent, the
-     * platform is down, slow or loses answers, engines and tools fail, operators race, several at a time. Cause: as the
-     * seed shows; run it with {@code PARSLEYDRIFT_LOG=INFO bin/soak --seed N}.
+     * Guards against violations of any invariant under overlapping faults. A failing seed is reproduced with logs by
+     * {@code PARSLEYDRIFT_LOG=INFO bin/soak --seed N}.
      */
     @Test(dataProvider = "seeds")
     public void nothingIsViolatedUnderAllFaults(long seed) {
--- a/parsleydrift-bench/src/test/java/org/parsleydrift/bench/decisions/DecisionRunTest.java
+++ b/parsleydrift-bench/src/test/java/org/parsleydrift/bench/decisions/DecisionRunTest.java
@@ -7,7 +7,7 @@
 import java.util.stream.LongStream;
 import org.testng.annotations.Test;
 
-/** The product's placement against others on the same programs. */
+/** Compares the scheduler's placement policy with others on the same programs. */
 public class DecisionRunTest {
     private static final int SEEDS = 2;
 
@@ -33,10 +33,7 @@
         return runs.stream().mapToDouble(RunResult::readShare).average().orElseThrow();
     }
 
-    /**
-     * Symptom: in a burst nearly all programs end late. Events: programs come at nearly twice the usual rate; turns go to
-     * the engine with one request less and their lines are read there anew. Cause: reading was not reckoned with.
-     */
+    /** Guards against placement that ignores prefill cost and moves programs away from cached prompts during a burst. */
     @Test
     public void burstKeepsProgramsOnCachingEngines() {
         List<RunResult> held = runs(new Policy.HeldParts(), "burst");
@@ -45,7 +42,7 @@
         assertTrue(worth(held) > worth(oneMore), worth(held) + " against " + worth(oneMore));
     }
 
-    /** The product's policy is no worse than any of the others on any of the loads. */
+    /** Guards against a load pattern on which a simpler policy completes more programs in time. */
     @Test
     public void noOtherPolicyServesMore() {
         DecisionsMain.PATTERNS.forEach(pattern -> {
@@ -63,11 +60,7 @@
         assertEquals(runs(new Policy.HeldParts(), "burst"), runs(new Policy.HeldParts(), "burst"));
     }
 
-    /**
-     * Symptom: in a burst engines of a large fleet refuse requests as full while others have places, and most programs are
-     * late. Events: programs come at nearly twice the usual rate to 57 nodes. Cause: all nodes see the same engine as the
-     * least loaded until they hear of each other's requests there, 240 ms later, and meet at it.
-     */
+    /** Guards against many nodes that all choose the same least loaded engine between two load reports. */
     @Test
     public void burstDoesNotOverloadOneEngine() {
         double worth = worth(runs(new Policy.HeldParts(), "burst", FleetShape.large()));
