--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FaultInjector.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FaultInjector.java
@@ -59,7 +59,7 @@
             case NODE_KILLED -> killNode();
             case NODE_PAUSED -> pauseNode();
             case NODE_DRAINED -> drainNode();
-            case LINK_SILENT -> silenceLink();
+            case LINK_SILENT -> stallLink();
             case LINK_CUT ->
                 cutRoute(randomNode().settings().link(), randomNode().settings().link(), true);
             case PLATFORM_CUT -> cutRoute(randomNode().settings().vm(), DisconnectableObjectStore.PLATFORM, false);
@@ -114,9 +114,9 @@
         return true;
     }
 
-    private boolean silenceLink() {
+    private boolean stallLink() {
         fleet.network()
-                .silence(randomNode().settings().link(), randomNode().settings().link());
+                .stall(randomNode().settings().link(), randomNode().settings().link());
         return true;
     }
 
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetNetwork.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetNetwork.java
@@ -14,7 +14,7 @@
 
     private final ManualEventLoop loop;
     private final Fleet fleet;
-    private final Set<String> silentConnections = new HashSet<>();
+    private final Set<String> stalledConnections = new HashSet<>();
     private final Set<String> cutRoutes = new HashSet<>();
     private long frames;
     private long bytes;
@@ -30,8 +30,8 @@
      * @param from one end
      * @param to the other end
      */
-    public void silence(String from, String to) {
-        silentConnections.add(from + ">" + to);
+    public void stall(String from, String to) {
+        stalledConnections.add(from + ">" + to);
     }
 
     /**
@@ -41,7 +41,7 @@
      * @param to the other end
      */
     public void reset(String from, String to) {
-        silentConnections.remove(from + ">" + to);
+        stalledConnections.remove(from + ">" + to);
     }
 
     /**
@@ -72,7 +72,7 @@
      * @return false if the connection is stalled or the route is cut
      */
     public boolean isReachable(String from, String to) {
-        return !silentConnections.contains(from + ">" + to) && !cutRoutes.contains(from + ">" + to);
+        return !stalledConnections.contains(from + ">" + to) && !cutRoutes.contains(from + ">" + to);
     }
 
     /**
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SoakMain.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SoakMain.java
@@ -60,7 +60,7 @@
         long calls = 0;
         long injected = 0;
         RuntimeClock clock = new SystemClock();
-        long begun = clock.nanos();
+        long startNanos = clock.nanos();
         for (int done = 0, round = 0; done < programs; done += PROGRAMS_PER_RUN, round++) {
             int size = Math.min(PROGRAMS_PER_RUN, programs - done);
             SoakReport report = new Soak(new SoakOptions(seed + round, 5, size, 50, faults)).run();
@@ -74,7 +74,7 @@
         }
         System.out.println("soak total programs=" + programs + " calls=" + calls + " faults=" + injected
                 + " violations=" + violations + " wall_s="
-                + Duration.ofNanos(clock.nanos() - begun).toSeconds());
+                + Duration.ofNanos(clock.nanos() - startNanos).toSeconds());
         return violations == 0 ? 0 : 1;
     }
 
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionRun.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionRun.java
@@ -20,7 +20,7 @@
  * own requests and the loads last published by their peers. The same seed gives the same programs to every policy.
  */
 public final class DecisionRun {
-    private static final double SECONDS = 25;
+    private static final double ARRIVAL_SECONDS = 25;
     /** Time for programs to complete after the last arrival, ms. */
     private static final double END_MILLIS = 60_000;
     /** Network time between caller, node and engine in each direction, ms. */
@@ -65,15 +65,19 @@
                     policy.usesGrants() ? grantedParts.getOrDefault(turn.program, List.of()) : List.of();
             List<Candidate> candidates = IntStream.range(0, shape.engines())
                     .mapToObj(engine -> {
-                        String life = runners.get(engine).incarnation();
-                        int missing = memory.uncachedTokens(life, turn.prompt, known, time.nanos());
+                        String incarnation = runners.get(engine).incarnation();
+                        int missing = memory.uncachedTokens(incarnation, turn.prompt, known, time.nanos());
                         return new Candidate(runners.get(engine), load(engine), false, false, missing);
                     })
                     .toList();
-            boolean anywhere = time.millis() - turn.sinceMillis > MAX_CACHE_WAIT_MILLIS;
-            Policy.PlacementContext situation = new Policy.PlacementContext(
-                    candidates, lastEngine.getOrDefault(turn.program, ""), meanUncachedTokens, anywhere, placements);
-            Optional<Candidate> chosen = policy.choose(situation, ties);
+            boolean isWaitExhausted = time.millis() - turn.sinceMillis > MAX_CACHE_WAIT_MILLIS;
+            Policy.PlacementContext context = new Policy.PlacementContext(
+                    candidates,
+                    lastEngine.getOrDefault(turn.program, ""),
+                    meanUncachedTokens,
+                    isWaitExhausted,
+                    placements);
+            Optional<Candidate> chosen = policy.choose(context, ties);
             if (chosen.isPresent() && waiting.remove(turn)) {
                 take(turn, chosen.get(), candidates.indexOf(chosen.get()));
             }
@@ -132,13 +136,13 @@
         this.shape = shape;
         this.ties = new Random(seed + 1);
         IntStream.range(0, shape.engines()).forEach(engine -> {
-            engines.add(new EngineModel(shape.figures(), time, millis -> pattern.slowdownAt(engine, millis)));
+            engines.add(new EngineModel(shape.engineParameters(), time, millis -> pattern.slowdownAt(engine, millis)));
             runners.add(new Runner(
                     "engine" + engine,
                     "engines",
                     "10.0.0.1:80",
                     "z",
-                    shape.figures().slots(),
+                    shape.engineParameters().slots(),
                     false));
         });
         IntStream.range(0, shape.nodes()).forEach(node -> nodes.add(new Node()));
@@ -155,9 +159,9 @@
      */
     public static RunResult run(Policy policy, LoadPattern pattern, FleetShape shape, long seed) {
         DecisionRun run = new DecisionRun(policy, pattern, shape, seed);
-        run.schedule(pattern, new Random(seed));
+        run.scheduleArrivals(pattern, new Random(seed));
         run.time.schedule(shape.loadReportMillis(), run::publishLoads);
-        run.time.runUntil(SECONDS * 1000 + END_MILLIS);
+        run.time.runUntil(ARRIVAL_SECONDS * 1000 + END_MILLIS);
         long read = run.engines.stream().mapToLong(EngineModel::prefillTokens).sum();
         return new RunResult(
                 run.programs,
@@ -169,16 +173,17 @@
                 run.turnMillis.getValueAtPercentile(99));
     }
 
-    private void schedule(LoadPattern pattern, RandomGenerator random) {
+    private void scheduleArrivals(LoadPattern pattern, RandomGenerator random) {
         double seconds = 0;
-        while (seconds < SECONDS) {
+        while (seconds < ARRIVAL_SECONDS) {
             seconds += -Math.log(1 - random.nextDouble()) / (pattern.rateAt(seconds) * shape.rateFactor());
-            ProgramScript program = ProgramScript.draw("p" + programs++, seconds * 1000, random, shape.figures());
-            time.schedule(program.beginMillis(), () -> begin(program));
+            ProgramScript program =
+                    ProgramScript.generate("p" + programs++, seconds * 1000, random, shape.engineParameters());
+            time.schedule(program.beginMillis(), () -> startProgram(program));
         }
     }
 
-    private void begin(ProgramScript program) {
+    private void startProgram(ProgramScript program) {
         double begun = time.millis();
         List<PromptPart> start =
                 List.of(new PromptPart(program.sharedPart(), program.sharedTokens()), new PromptPart(program.id(), 0));
@@ -195,9 +200,9 @@
             return;
         }
         TurnScript script = turns.get(next);
-        List<PromptPart> prompt = extended(before, script.newTokens());
+        List<PromptPart> prompt = withAppendedTokens(before, script.newTokens());
         Turn turn = new Turn(program, script, prompt, () -> {
-            List<PromptPart> after = extended(prompt, script.outputTokens());
+            List<PromptPart> after = withAppendedTokens(prompt, script.outputTokens());
             runSubAgents(program, script, after, () -> runTurns(program, turns, next + 1, after, ended));
         });
         Node node = nodes.get((int) (script.nodeDraw() * shape.nodes()));
@@ -225,7 +230,7 @@
         });
     }
 
-    private static List<PromptPart> extended(List<PromptPart> prompt, int tokens) {
+    private static List<PromptPart> withAppendedTokens(List<PromptPart> prompt, int tokens) {
         List<PromptPart> longer = new ArrayList<>(prompt.subList(0, prompt.size() - 1));
         PromptPart last = prompt.getLast();
         longer.add(new PromptPart(last.id(), last.tokens() + tokens));
@@ -235,7 +240,7 @@
     private void publishLoads() {
         nodes.forEach(each -> System.arraycopy(each.ownLoad, 0, each.publishedLoad, 0, shape.engines()));
         nodes.forEach(Node::dispatch);
-        if (time.millis() < SECONDS * 1000 + END_MILLIS) {
+        if (time.millis() < ARRIVAL_SECONDS * 1000 + END_MILLIS) {
             time.schedule(shape.loadReportMillis(), this::publishLoads);
         }
     }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionsMain.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionsMain.java
@@ -24,14 +24,14 @@
             new Policy.HeldParts(true, true, 4),
             new Policy.HeldParts(true, true, 8));
 
-    private static final double USUAL_RATE = 18;
+    private static final double BASE_RATE = 18;
 
     /** Load patterns that the policies are compared on. */
     static final List<LoadPattern> PATTERNS = List.of(
-            new LoadPattern("usual", USUAL_RATE, 1, 0, 0, 1),
-            new LoadPattern("burst", USUAL_RATE, 1.8, 6, 0, 1),
-            new LoadPattern("heavy-burst", USUAL_RATE, 3, 6, 0, 1),
-            new LoadPattern("slow-engine", USUAL_RATE, 1.2, 8, 1, 5));
+            new LoadPattern("usual", BASE_RATE, 1, 0, 0, 1),
+            new LoadPattern("burst", BASE_RATE, 1.8, 6, 0, 1),
+            new LoadPattern("heavy-burst", BASE_RATE, 3, 6, 0, 1),
+            new LoadPattern("slow-engine", BASE_RATE, 1.2, 8, 1, 5));
 
     private DecisionsMain() {}
 
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/EngineModel.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/EngineModel.java
@@ -12,7 +12,7 @@
 
 /** A model of an inference engine with continuous batching, chunked prefill and an LRU cache of prompt parts. */
 final class EngineModel {
-    private final EngineParameters figures;
+    private final EngineParameters parameters;
     private final VirtualTime time;
     private final DoubleUnaryOperator slowdownFactor;
     private final Deque<Run> queue = new ArrayDeque<>();
@@ -48,7 +48,7 @@
     }
 
     EngineModel(EngineParameters figures, VirtualTime time, DoubleUnaryOperator slowness) {
-        this.figures = figures;
+        this.parameters = figures;
         this.time = time;
         this.slowdownFactor = slowness;
     }
@@ -65,7 +65,7 @@
     }
 
     private void startStep() {
-        while (running.size() < figures.slots() && !queue.isEmpty()) {
+        while (running.size() < parameters.slots() && !queue.isEmpty()) {
             Run next = queue.pollFirst();
             next.pendingPrefillTokens = uncachedTokens(next.prompt);
             prefillTokens += next.pendingPrefillTokens;
@@ -77,21 +77,21 @@
         }
         int reads = prefillChunk();
         double context = running.stream().mapToInt(Run::context).sum() / 1000.0;
-        double millis = figures.stepMillis()
-                + figures.stepMillisPerRequest() * running.size()
-                + figures.stepMillisPerThousandTokens() * context
-                + reads / figures.prefillTokensPerMilli();
+        double millis = parameters.stepMillis()
+                + parameters.stepMillisPerRequest() * running.size()
+                + parameters.stepMillisPerThousandTokens() * context
+                + reads / parameters.prefillTokensPerMilli();
         time.schedule(millis * slowdownFactor.applyAsDouble(time.millis()), this::completeStep);
     }
 
     private int prefillChunk() {
-        int left = figures.prefillChunkTokens();
+        int left = parameters.prefillChunkTokens();
         for (Run run : running) {
             int taken = Math.min(left, run.pendingPrefillTokens);
             run.pendingPrefillTokens -= taken;
             left -= taken;
         }
-        return figures.prefillChunkTokens() - left;
+        return parameters.prefillChunkTokens() - left;
     }
 
     private void completeStep() {
@@ -116,21 +116,21 @@
 
     private int uncachedTokens(List<PromptPart> prompt) {
         int missing = 0;
-        boolean whole = true;
+        boolean isPrefixCached = true;
         for (PromptPart part : prompt) {
-            int held = whole ? Math.min(part.tokens(), cachedTokens.getOrDefault(part.id(), 0)) : 0;
+            int held = isPrefixCached ? Math.min(part.tokens(), cachedTokens.getOrDefault(part.id(), 0)) : 0;
             missing += part.tokens() - held;
-            whole &= held == part.tokens();
+            isPrefixCached &= held == part.tokens();
         }
         return missing;
     }
 
     private void cachePrompt(Run run) {
         run.prompt.forEach(part -> cachedTokens.merge(part.id(), part.tokens(), Math::max));
-        PromptPart line = run.prompt.getLast();
-        cachedTokens.put(line.id(), line.tokens() + run.generatedTokens);
+        PromptPart lastPart = run.prompt.getLast();
+        cachedTokens.put(lastPart.id(), lastPart.tokens() + run.generatedTokens);
         int used = running.stream().mapToInt(Run::context).sum();
-        int room = figures.cacheTokens() - used;
+        int room = parameters.cacheTokens() - used;
         int held = cachedTokens.values().stream().mapToInt(Integer::intValue).sum();
         for (Iterator<Integer> oldest = cachedTokens.values().iterator(); held > room && oldest.hasNext(); ) {
             held -= oldest.next();
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/FleetShape.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/FleetShape.java
@@ -6,12 +6,17 @@
  * @param name name as given to the {@code --fleet} option
  * @param nodes number of entry nodes, each of which places turns independently
  * @param engines number of engines
- * @param figures performance parameters of each engine
+ * @param engineParameters performance parameters of each engine
  * @param loadReportMillis interval at which nodes publish their loads to each other, ms
  * @param rateFactor arrival rate relative to that of the small fleet
  */
 public record FleetShape(
-        String name, int nodes, int engines, EngineParameters figures, double loadReportMillis, double rateFactor) {
+        String name,
+        int nodes,
+        int engines,
+        EngineParameters engineParameters,
+        double loadReportMillis,
+        double rateFactor) {
     /**
      * Returns a fleet of a few nodes that exchange loads directly, and a few engines with many slots.
      *
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/Policy.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/Policy.java
@@ -64,44 +64,44 @@
     /**
      * Chooses an engine for a turn.
      *
-     * @param situation the input of the decision
+     * @param context the input of the decision
      * @param random random generator for tie-breaking and sampling
      * @return the engine, or empty if the turn must wait
      */
-    default Optional<Candidate> choose(PlacementContext situation, RandomGenerator random) {
+    default Optional<Candidate> choose(PlacementContext context, RandomGenerator random) {
         return switch (this) {
             case RoundRobin ignored ->
-                withFreeSlot(situation)
-                        .skip(situation.placementCount()
-                                % Math.max(1, withFreeSlot(situation).count()))
+                withFreeSlot(context)
+                        .skip(context.placementCount()
+                                % Math.max(1, withFreeSlot(context).count()))
                         .findFirst();
-            case LeastLoaded ignored -> leastLoaded(situation, random);
-            case Sticky ignored -> lastUsed(situation, Integer.MAX_VALUE).or(() -> leastLoaded(situation, random));
-            case OneMore ignored -> lastUsed(situation, 1).or(() -> leastLoaded(situation, random));
+            case LeastLoaded ignored -> leastLoaded(context, random);
+            case Sticky ignored -> lastUsed(context, Integer.MAX_VALUE).or(() -> leastLoaded(context, random));
+            case OneMore ignored -> lastUsed(context, 1).or(() -> leastLoaded(context, random));
             case HeldParts parts ->
                 RunnerChoice.choose(
-                        situation.candidates(),
-                        situation.meanUncachedTokens(),
-                        situation.isWaitExhausted() || !parts.waits(),
+                        context.candidates(),
+                        context.meanUncachedTokens(),
+                        context.isWaitExhausted() || !parts.waits(),
                         parts.drawn(),
                         random);
         };
     }
 
-    private static Stream<Candidate> withFreeSlot(PlacementContext situation) {
-        return situation.candidates().stream()
+    private static Stream<Candidate> withFreeSlot(PlacementContext context) {
+        return context.candidates().stream()
                 .filter(each -> each.load() < each.runner().slots());
     }
 
-    private static Optional<Candidate> leastLoaded(PlacementContext situation, RandomGenerator random) {
-        return withFreeSlot(situation).min(Comparator.comparingDouble(each -> each.load() + random.nextDouble()));
+    private static Optional<Candidate> leastLoaded(PlacementContext context, RandomGenerator random) {
+        return withFreeSlot(context).min(Comparator.comparingDouble(each -> each.load() + random.nextDouble()));
     }
 
-    private static Optional<Candidate> lastUsed(PlacementContext situation, int allowance) {
+    private static Optional<Candidate> lastUsed(PlacementContext context, int allowance) {
         int least =
-                situation.candidates().stream().mapToInt(Candidate::load).min().orElse(0);
-        return withFreeSlot(situation)
-                .filter(each -> each.runner().incarnation().equals(situation.lastEngine()))
+                context.candidates().stream().mapToInt(Candidate::load).min().orElse(0);
+        return withFreeSlot(context)
+                .filter(each -> each.runner().incarnation().equals(context.lastEngine()))
                 .filter(each -> each.load() - allowance <= least)
                 .findFirst();
     }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/ProgramScript.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/ProgramScript.java
@@ -41,10 +41,10 @@
      * @param id id of the program, unique in the run
      * @param beginMillis arrival time, ms
      * @param random the random generator
-     * @param figures engine parameters for the estimated time on idle engines
+     * @param parameters engine parameters for the estimated time on idle engines
      * @return the program
      */
-    static ProgramScript draw(String id, double beginMillis, RandomGenerator random, EngineParameters figures) {
+    static ProgramScript generate(String id, double beginMillis, RandomGenerator random, EngineParameters parameters) {
         boolean dialogue = random.nextDouble() < 0.3;
         int turns = Math.max(1, (int) Math.round((dialogue ? 7 : 4) * Math.exp(0.4 * random.nextGaussian())));
         double inputMean = dialogue ? 327 : 654;
@@ -52,11 +52,11 @@
         double pauseMean = dialogue ? 230 : 120;
         List<TurnScript> line = IntStream.range(0, turns)
                 .mapToObj(turn -> {
-                    boolean fans = turn < turns - 1 && random.nextDouble() < fanOut;
-                    return turn(inputMean, pauseMean, fans ? 3 + random.nextInt(5) : 0, random);
+                    boolean hasSubAgents = turn < turns - 1 && random.nextDouble() < fanOut;
+                    return turn(inputMean, pauseMean, hasSubAgents ? 3 + random.nextInt(5) : 0, random);
                 })
                 .toList();
-        double target = TARGET_FACTOR * idleMillis(line, figures, SHARED_TOKENS) + TARGET_SLACK_MILLIS;
+        double target = TARGET_FACTOR * idleMillis(line, parameters, SHARED_TOKENS) + TARGET_SLACK_MILLIS;
         return new ProgramScript(id, beginMillis, "shared" + random.nextInt(SHARED_PARTS), SHARED_TOKENS, line, target);
     }
 
@@ -74,15 +74,15 @@
         return new TurnScript(input, output, random.nextDouble(), pause, subAgents);
     }
 
-    private static double idleMillis(List<TurnScript> line, EngineParameters figures, int firstShared) {
-        double sum = firstShared / figures.prefillTokensPerMilli();
+    private static double idleMillis(List<TurnScript> line, EngineParameters parameters, int firstShared) {
+        double sum = firstShared / parameters.prefillTokensPerMilli();
         for (TurnScript turn : line) {
             sum += NETWORK_DELAY_MILLIS
-                    + turn.newTokens() / figures.prefillTokensPerMilli()
-                    + turn.outputTokens() * figures.stepMillis()
+                    + turn.newTokens() / parameters.prefillTokensPerMilli()
+                    + turn.outputTokens() * parameters.stepMillis()
                     + turn.pauseMillis();
             sum += turn.subAgents().stream()
-                    .mapToDouble(each -> idleMillis(each, figures, 0))
+                    .mapToDouble(each -> idleMillis(each, parameters, 0))
                     .max()
                     .orElse(0);
         }
--- a/parsleydrift-bench/src/test/java/org/parsleydrift/bench/PromiseTest.java
+++ b/parsleydrift-bench/src/test/java/org/parsleydrift/bench/PromiseTest.java
@@ -20,9 +20,9 @@
 
 /** Guarantees of the scheduler under single faults, on an in-memory fleet (docs/PROMISES.md). */
 public class PromiseTest {
-    private static final String DEBATE = "d <say 4 / say 3, tool once {\"n\":1} / say 3, spawn a <say 2, end>,"
+    private static final String SCRIPT = "d <say 4 / say 3, tool once {\"n\":1} / say 3, spawn a <say 2, end>,"
             + " spawn a <say 3, tool often {\"n\":2} / say 2, end> / say 3, tool once {\"n\":3} / say 2, end>";
-    private static final Duration LONG = Duration.ofMinutes(3);
+    private static final Duration TIMEOUT = Duration.ofMinutes(3);
 
     private Fleet fleet;
 
@@ -35,16 +35,16 @@
 
     @Test
     public void programsCompleteWithoutFaults() {
-        List<FleetCaller> callers = begin(20, DEBATE, 0);
+        List<FleetCaller> callers = begin(20, SCRIPT, 0);
         awaitDone(callers);
-        assertAllWhole(callers);
-        assertNoDoubledEffect();
+        assertAllComplete(callers);
+        assertNoRepeatedEffect();
     }
 
     /** Guards against lost programs and repeated non-idempotent calls when each node in turn is killed and restarted. */
     @Test
-    public void killedOwnerLosesNothingAndDoublesNothing() {
-        List<FleetCaller> callers = begin(40, DEBATE, 0);
+    public void killedOwnerLosesAndRepeatsNothing() {
+        List<FleetCaller> callers = begin(40, SCRIPT, 0);
         fleet.advance(Duration.ofMillis(120));
         List.copyOf(fleet.nodes()).forEach(node -> {
             node.kill();
@@ -53,14 +53,14 @@
             fleet.advance(Duration.ofSeconds(3));
         });
         awaitDone(callers);
-        assertAllWhole(callers);
-        assertNoDoubledEffect();
+        assertAllComplete(callers);
+        assertNoRepeatedEffect();
     }
 
     /** Guards against calls by an owner that resumes after its peers have sealed its journal. */
     @Test
-    public void pausedOwnerWakesAndIsFenced() {
-        List<FleetCaller> callers = begin(40, DEBATE, 0);
+    public void pausedOwnerIsFencedAfterResume() {
+        List<FleetCaller> callers = begin(40, SCRIPT, 0);
         fleet.advance(Duration.ofMillis(150));
         FleetNode owner = fleet.nodes().getFirst();
         String before = owner.node().status().node();
@@ -68,8 +68,8 @@
         fleet.advance(Duration.ofSeconds(8));
         owner.resume();
         awaitDone(callers);
-        assertAllWhole(callers);
-        assertNoDoubledEffect();
+        assertAllComplete(callers);
+        assertNoRepeatedEffect();
         fleet.awaitTrue(
                 Duration.ofSeconds(10), () -> !owner.node().status().node().equals(before));
     }
@@ -80,10 +80,10 @@
         fleet.tools().values().forEach(tool -> tool.faults(new ToolFaults(false, false, 1.0)));
         FleetCaller caller =
                 begin(1, "d <say 2, tool once {\"n\":1} / say 2, end>", 0).getFirst();
-        fleet.awaitTrue(LONG, () -> !effects().isEmpty());
+        fleet.awaitTrue(TIMEOUT, () -> !effects().isEmpty());
         owner(caller).kill();
         awaitDone(List.of(caller));
-        assertAllWhole(List.of(caller));
+        assertAllComplete(List.of(caller));
         assertEquals(effects().values().stream().mapToInt(each -> each).sum(), 1);
     }
 
@@ -91,66 +91,66 @@
     @Test
     public void lostAnswersOfThePlatformAreReadBack() {
         fleet.store().faults(new PlatformFaults(false, 0, 0.5, true, 0));
-        List<FleetCaller> callers = begin(20, DEBATE, 0);
+        List<FleetCaller> callers = begin(20, SCRIPT, 0);
         fleet.advance(Duration.ofSeconds(40));
         fleet.store().faults(PlatformFaults.NONE);
         awaitDone(callers);
-        assertAllWhole(callers);
-        assertNoDoubledEffect();
+        assertAllComplete(callers);
+        assertNoRepeatedEffect();
     }
 
     /** Guards against effects of programs that were refused as not run during a platform outage. */
     @Test
-    public void outageRefusesTruthfullyAndRunsOnAfterwards() {
-        List<FleetCaller> early = begin(10, DEBATE, 0);
+    public void programsRefusedDuringOutageHaveNoEffects() {
+        List<FleetCaller> early = begin(10, SCRIPT, 0);
         fleet.advance(Duration.ofMillis(100));
         fleet.store().faults(new PlatformFaults(true, 0, 0, false, 0));
         fleet.advance(Duration.ofSeconds(10));
-        List<FleetCaller> refused = begin(10, DEBATE, 100);
+        List<FleetCaller> refused = begin(10, SCRIPT, 100);
         fleet.advance(Duration.ofMinutes(10));
         fleet.store().faults(PlatformFaults.NONE);
         awaitDone(early);
         awaitDone(refused);
-        assertAllWhole(early);
+        assertAllComplete(early);
         refused.stream().filter(caller -> caller.refusal() != null).forEach(caller -> {
             assertEquals(caller.refusal().kind(), RefusalKind.NOT_RUN);
             assertTrue(effects().keySet().stream()
                     .noneMatch(effect -> effect.startsWith(String.valueOf(caller.id()) + "/")));
         });
-        assertNoDoubledEffect();
+        assertNoRepeatedEffect();
     }
 
     /** Guards against requests that hang on stalled connections between healthy nodes. */
     @Test
     public void silentConnectionsAreReplaced() {
-        List<FleetCaller> callers = begin(20, DEBATE, 0);
+        List<FleetCaller> callers = begin(20, SCRIPT, 0);
         fleet.advance(Duration.ofMillis(60));
         fleet.nodes()
                 .forEach(from -> fleet.nodes()
                         .forEach(to -> fleet.network()
-                                .silence(from.settings().link(), to.settings().link())));
+                                .stall(from.settings().link(), to.settings().link())));
         awaitDone(callers);
-        assertAllWhole(callers);
+        assertAllComplete(callers);
     }
 
     /** Guards against a drained process that exits before its programs and callers have moved to other nodes. */
     @Test
-    public void drainOfEveryNodeCutsNothing() {
+    public void drainOfEveryNodeAbortsNoProgram() {
         List<FleetCaller> callers = new ArrayList<>();
         List<FleetNode> first = List.copyOf(fleet.nodes());
         for (FleetNode node : first) {
-            callers.addAll(begin(15, DEBATE, 100 * callers.size()));
+            callers.addAll(begin(15, SCRIPT, 100 * callers.size()));
             fleet.advance(Duration.ofMillis(100));
             fleet.addNode();
             boolean[] exited = {false};
             node.drain().thenRun(() -> exited[0] = true);
-            fleet.awaitTrue(LONG, () -> exited[0]);
+            fleet.awaitTrue(TIMEOUT, () -> exited[0]);
             assertEquals(node.node().programs().size(), 0);
             node.kill();
         }
         awaitDone(callers);
-        assertAllWhole(callers);
-        assertNoDoubledEffect();
+        assertAllComplete(callers);
+        assertNoRepeatedEffect();
     }
 
     /** Guards against peers that keep a dead node alive by relaying outdated reports of its heartbeats. */
@@ -167,8 +167,8 @@
 
     /** Guards against engine memory that is never released after the owner of its programs died. */
     @Test
-    public void engineMemoryOfGoneProgramsIsFreed() {
-        List<FleetCaller> callers = begin(20, DEBATE, 0);
+    public void engineMemoryOfEndedProgramsIsReleased() {
+        List<FleetCaller> callers = begin(20, SCRIPT, 0);
         fleet.advance(Duration.ofMillis(200));
         FleetNode node = fleet.nodes().getFirst();
         node.kill();
@@ -179,12 +179,12 @@
 
     /** Guards against turns sent to an engine that is leaving but still listed by the platform. */
     @Test
-    public void leavingEngineGetsNothingNew() {
+    public void leavingEngineGetsNoNewTurns() {
         var leaving = fleet.engines().values().iterator().next();
         leaving.faults(new EngineFaults(true, false, 0));
-        List<FleetCaller> callers = begin(20, DEBATE, 0);
+        List<FleetCaller> callers = begin(20, SCRIPT, 0);
         awaitDone(callers);
-        assertAllWhole(callers);
+        assertAllComplete(callers);
         assertEquals(leaving.turnsAccepted(), 0);
     }
 
@@ -259,11 +259,11 @@
         return owner;
     }
 
-    private static void assertAllWhole(List<FleetCaller> callers) {
+    private static void assertAllComplete(List<FleetCaller> callers) {
         callers.forEach(caller -> assertEquals(caller.describeFault(), "", String.valueOf(caller.id())));
     }
 
-    private void assertNoDoubledEffect() {
+    private void assertNoRepeatedEffect() {
         effects().forEach((effect, count) -> assertTrue(count == 1 || !effect.endsWith(" once"), effect + " " + count));
     }
 
--- a/parsleydrift-bench/src/test/java/org/parsleydrift/bench/SoakTest.java
+++ b/parsleydrift-bench/src/test/java/org/parsleydrift/bench/SoakTest.java
@@ -18,7 +18,7 @@
      * {@code PARSLEYDRIFT_LOG=INFO bin/soak --seed N}.
      */
     @Test(dataProvider = "seeds")
-    public void nothingIsViolatedUnderAllFaults(long seed) {
+    public void invariantsHoldUnderAllFaults(long seed) {
         SoakReport report = new Soak(SoakOptions.withAllFaults(seed, 600)).run();
         assertEquals(report.violations(), List.of(), report.line());
     }
--- a/parsleydrift-bench/src/test/java/org/parsleydrift/bench/decisions/DecisionRunTest.java
+++ b/parsleydrift-bench/src/test/java/org/parsleydrift/bench/decisions/DecisionRunTest.java
@@ -44,7 +44,7 @@
 
     /** Guards against a load pattern on which a simpler policy completes more programs in time. */
     @Test
-    public void noOtherPolicyServesMore() {
+    public void noOtherPolicyScoresHigher() {
         DecisionsMain.PATTERNS.forEach(pattern -> {
             double held = worth(runs(new Policy.HeldParts(), pattern.name()));
             List.of(new Policy.RoundRobin(), new Policy.LeastLoaded(), new Policy.Sticky(), new Policy.OneMore())
@@ -56,7 +56,7 @@
     }
 
     @Test
-    public void aSeedGivesTheSameRunAgain() {
+    public void sameSeedGivesTheSameRun() {
         assertEquals(runs(new Policy.HeldParts(), "burst"), runs(new Policy.HeldParts(), "burst"));
     }
 
