--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetNode.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetNode.java
@@ -140,8 +140,8 @@
     }
 
     /**
-     * Verifies that the manifest generation never decreases, also across restarts. Generation 0 means that a new process
-     * has no manifest yet.
+     * Verifies that the manifest generation never decreases, also across restarts. Generation 0 means that a new
+     * process has no manifest yet.
      *
      * @throws AssertionError if the generation decreased
      */
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionRun.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionRun.java
@@ -16,8 +16,8 @@
 import org.parsleydrift.registry.Runner;
 
 /**
- * A simulation of one placement policy. Turns arrive at random entry nodes, which place them on modelled engines by their
- * own requests and the loads last published by their peers. The same seed gives the same programs to every policy.
+ * A simulation of one placement policy. Turns arrive at random entry nodes, which place them on modelled engines by
+ * their own requests and the loads last published by their peers. The same seed gives the same programs to every policy.
  */
 public final class DecisionRun {
     private static final double ARRIVAL_SECONDS = 25;
--- a/parsleydrift-bench/src/test/java/org/parsleydrift/bench/PromiseTest.java
+++ b/parsleydrift-bench/src/test/java/org/parsleydrift/bench/PromiseTest.java
@@ -41,7 +41,7 @@
         assertNoRepeatedEffect();
     }
 
-    /** Guards against lost programs and repeated non-idempotent calls when each node in turn is killed and restarted. */
+    /** Guards against lost programs and repeated non-idempotent calls when nodes are killed and restarted. */
     @Test
     public void killedOwnerLosesAndRepeatsNothing() {
         List<FleetCaller> callers = begin(40, SCRIPT, 0);
--- a/parsleydrift-bench/src/test/java/org/parsleydrift/bench/decisions/DecisionRunTest.java
+++ b/parsleydrift-bench/src/test/java/org/parsleydrift/bench/decisions/DecisionRunTest.java
@@ -33,7 +33,7 @@
         return runs.stream().mapToDouble(RunResult::readShare).average().orElseThrow();
     }
 
-    /** Guards against placement that ignores prefill cost and moves programs away from cached prompts during a burst. */
+    /** Guards against placement that ignores prefill cost and moves programs away from cached prompts in a burst. */
     @Test
     public void burstKeepsProgramsOnCachingEngines() {
         List<RunResult> held = runs(new Policy.HeldParts(), "burst");
