--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/DeploymentPlugin.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/DeploymentPlugin.java
@@ -20,7 +20,7 @@
      *
      * @return the names
      */
-    HeaderNames dialect();
+    HeaderNames headerNames();
 
     /**
      * The shared objects.
--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
@@ -93,7 +93,7 @@
                 dispatcher,
                 new Conversations(stores),
                 allotments,
-                parts.outside.dialect(),
+                parts.outside.headerNames(),
                 parts.random,
                 parts.meters);
         runners = followed(ObjectKind.RUNNERS, listener(registry::applyRunnerChanges, registry::setPlatformReachable));
