--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionRun.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/DecisionRun.java
@@ -17,7 +17,7 @@
 
 /**
  * A simulation of one placement policy. Turns arrive at random entry nodes, which place them on modelled engines by
- * their own requests and the loads last published by their peers. The same seed gives the same programs to every policy.
+ * their own requests and the loads last published by their peers. All policies get the same programs for a seed.
  */
 public final class DecisionRun {
     private static final double ARRIVAL_SECONDS = 25;
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/EngineModel.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/EngineModel.java
@@ -47,10 +47,10 @@
         }
     }
 
-    EngineModel(EngineParameters figures, VirtualTime time, DoubleUnaryOperator slowness) {
-        this.parameters = figures;
+    EngineModel(EngineParameters parameters, VirtualTime time, DoubleUnaryOperator slowdownFactor) {
+        this.parameters = parameters;
         this.time = time;
-        this.slowdownFactor = slowness;
+        this.slowdownFactor = slowdownFactor;
     }
 
     void submit(Run run) {
