--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetUpstreams.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetUpstreams.java
@@ -74,8 +74,8 @@
         fleet.externalLoop()
                 .schedule(
                         timeout,
-                        () -> answer.completeExceptionally(new CallException(
-                                Step.CALL, upstream, CallFailure.UNKNOWN, false, "no answer within " + timeout)));
+                        () -> answer.completeExceptionally(
+                                new CallException(Step.CALL, upstream, CallFailure.UNKNOWN, false, "no answer")));
         if (fleet.network().isReachable(vm, upstream)) {
             fleet.externalLoop()
                     .schedule(
@@ -145,8 +145,8 @@
                 }
                 if (fleet.scheduler().nanos() - lastTokenNanos > IDLE_TIMEOUT.toNanos()) {
                     cancel();
-                    done.completeExceptionally(new CallException(
-                            Step.TURN, runner, CallFailure.UNKNOWN, false, "no token within " + IDLE_TIMEOUT));
+                    done.completeExceptionally(
+                            new CallException(Step.TURN, runner, CallFailure.UNKNOWN, false, "silent"));
                 } else {
                     watchIdleTimeout();
                 }
