--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetCaller.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetCaller.java
@@ -11,25 +11,25 @@
 import org.parsleydrift.tools.ProgramAnswer;
 
 /**
- * A caller of one program: asks which node to use, starts the program, sends its messages, reads its answer, and asks
- * again with the same key wherever a connection breaks. It checks each piece that it gets.
+ * A simulated caller of one program: requests an entry node, starts the program, sends its messages and reads its
+ * answer. It reconnects with the same idempotency key when a connection breaks, and verifies the offset of each output.
  */
 public final class FleetCaller {
-    private static final Duration PAUSE = Duration.ofMillis(200);
-    private static final Duration SILENCE = Duration.ofSeconds(5);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(200);
+    private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(5);
 
     private final Fleet fleet;
     private final String key;
     private final String agent;
     private final String prompt;
-    private final int messages;
+    private final int messageCount;
     private final StringBuilder text = new StringBuilder();
     private ProgramId id;
     private FleetNode connectedTo;
-    private Runnable connection = () -> {};
+    private Runnable closeConnection = () -> {};
     private int attempt;
     private int messagesSent;
-    private boolean handed;
+    private boolean startSent;
     private boolean started;
     private boolean closed;
     private ProgramAnswer answer;
@@ -39,12 +39,12 @@
     private long lastReplyNanos;
 
     /**
-     * Makes a caller that does nothing yet.
+     * Creates a caller without sending a request.
      *
-     * @param fleet the fleet
-     * @param key the caller's key
+     * @param fleet the fleet that runs the program
+     * @param key the idempotency key, unique in the fleet
      * @param prompt the program's first input
-     * @param messages how many messages it sends
+     * @param messages the number of messages sent after the start
      */
     public FleetCaller(Fleet fleet, String key, String prompt, int messages) {
         this(fleet, key, "a", prompt, messages);
@@ -55,64 +55,64 @@
         this.key = key;
         this.agent = agent;
         this.prompt = prompt;
-        this.messages = messages;
+        this.messageCount = messages;
     }
 
-    /** Begins. */
+    /** Sends the first request and starts to monitor the connection. */
     public void begin() {
         startedNanos = fleet.scheduler().nanos();
         lastReplyNanos = startedNanos;
-        askEntry();
-        watch();
+        requestEntryNode();
+        watchConnection();
     }
 
     /**
-     * Whether nothing more will come.
+     * Returns whether the program has ended for this caller.
      *
-     * @return true with an answer or a final refusal
+     * @return true after a complete answer or a final refusal
      */
-    public boolean done() {
+    public boolean isDone() {
         return answer != null || refusal != null;
     }
 
     /**
-     * The whole answer.
+     * Returns the complete answer.
      *
-     * @return the answer, or null
+     * @return the answer, or null while the program runs or after a refusal
      */
     public ProgramAnswer answer() {
         return answer;
     }
 
     /**
-     * The final refusal.
+     * Returns the final refusal.
      *
-     * @return the refusal, or null
+     * @return the refusal, or null if the program was not refused
      */
     public CallerReply.Refused refusal() {
         return refusal;
     }
 
     /**
-     * The program's id.
+     * Returns the program's id.
      *
-     * @return the id, or null before the first ticket
+     * @return the id, or null before an entry node is assigned
      */
     public ProgramId id() {
         return id;
     }
 
     /**
-     * What it has read so far.
+     * Returns the output received so far.
      *
-     * @return the text
+     * @return the text, empty before the first output
      */
     public String text() {
         return text.toString();
     }
 
     /**
-     * Time from the first request to the whole answer.
+     * Returns the time from the first request to the answer or final refusal.
      *
      * @return virtual nanoseconds
      */
@@ -121,11 +121,11 @@
     }
 
     /**
-     * Checks the answer token by token.
+     * Verifies the answer token by token.
      *
-     * @return what is wrong, or an empty text
+     * @return a description of the first mismatch, or an empty string if the answer is correct
      */
-    public String fault() {
+    public String describeFault() {
         if (answer == null) {
             return "no answer" + (refusal == null ? "" : ": " + refusal);
         }
@@ -134,21 +134,21 @@
                 : "end " + answer.end() + " " + answer.detail();
     }
 
-    private void askEntry() {
+    private void requestEntryNode() {
         if (closed) {
             return;
         }
-        List<FleetNode> up = fleet.live();
-        if (up.isEmpty()) {
-            later(this::askEntry);
+        List<FleetNode> liveNodes = fleet.liveNodes();
+        if (liveNodes.isEmpty()) {
+            scheduleRetry(this::requestEntryNode);
             return;
         }
-        FleetNode node = up.get(fleet.random().nextInt(up.size()));
+        FleetNode node = liveNodes.get(fleet.random().nextInt(liveNodes.size()));
         connectedTo = node;
-        connection.run();
-        int mine = ++attempt;
+        closeConnection.run();
+        int requestAttempt = ++attempt;
         node.run(() -> {
-            if (mine != attempt) {
+            if (requestAttempt != attempt) {
                 return;
             }
             if (id == null) {
@@ -158,44 +158,45 @@
                         .ifPresent(ticket -> id = ProgramId.parse(ticket + "~team~" + key));
             }
             if (id == null) {
-                later(this::askEntry);
+                scheduleRetry(this::requestEntryNode);
             } else {
-                proceed(node, mine);
+                sendNextRequest(node, requestAttempt);
             }
         });
     }
 
-    private void proceed(FleetNode node, int mine) {
+    private void sendNextRequest(FleetNode node, int requestAttempt) {
         CallerRequest next;
         if (!started) {
-            next = new CallerRequest.Start(id, agent, prompt, !handed);
-            handed = true;
-        } else if (messagesSent < messages) {
+            next = new CallerRequest.Start(id, agent, prompt, !startSent);
+            startSent = true;
+        } else if (messagesSent < messageCount) {
             next = new CallerRequest.Send(id, "message" + messagesSent, "text " + messagesSent);
         } else {
             next = new CallerRequest.Attach(id, text.length());
         }
         Runnable cancel = node.node().open(next, reply -> {
-            if (mine == attempt && !closed) {
+            if (requestAttempt == attempt && !closed) {
                 lastReplyNanos = fleet.scheduler().nanos();
-                take(node, mine, reply);
+                handleReply(node, requestAttempt, reply);
             }
         });
-        connection = () -> node.run(cancel);
+        closeConnection = () -> node.run(cancel);
     }
 
-    private void take(FleetNode node, int mine, CallerReply reply) {
+    private void handleReply(FleetNode node, int requestAttempt, CallerReply reply) {
         switch (reply) {
             case CallerReply.Accepted ignored -> {
                 if (started) {
                     messagesSent++;
                 }
                 started = true;
-                node.run(() -> proceed(node, mine));
+                node.run(() -> sendNextRequest(node, requestAttempt));
             }
             case CallerReply.Output output -> {
                 if (output.offset() != text.length()) {
-                    throw new AssertionError(id + " got offset " + output.offset() + " at " + text.length());
+                    throw new AssertionError(
+                            id + " received output at offset " + output.offset() + ", expected " + text.length());
                 }
                 text.append(output.text());
             }
@@ -206,32 +207,32 @@
                         ended.end().name().toLowerCase(java.util.Locale.ROOT),
                         ended.detail(),
                         ended.length()));
-            case CallerReply.Refused refused -> refused(refused);
+            case CallerReply.Refused refused -> handleRefusal(refused);
             case CallerReply.Answer ignored -> finish(new ProgramAnswer("", "complete", "", 0));
-            case CallerReply.Explained ignored -> throw new AssertionError("not asked for");
-            case CallerReply.Moved ignored -> throw new AssertionError("a caller must not see this");
+            case CallerReply.Explained ignored -> throw new AssertionError(id + " received an unrequested explanation");
+            case CallerReply.Moved ignored -> throw new AssertionError(id + " received a reply reserved for nodes");
             case CallerReply.Progress ignored -> {
                 return;
             }
         }
     }
 
-    private void refused(CallerReply.Refused refused) {
+    private void handleRefusal(CallerReply.Refused refused) {
         if (refused.kind() == RefusalKind.NOT_RUN && !started) {
-            // Believes it, and never asks again: nothing of the program may be found anywhere.
+            // Never retries, so that the run can verify that a refused program left no effects.
             refusal = refused;
             close();
         } else if (refused.retryAfterMillis() > 0) {
             attempt++;
-            later(this::askEntry);
+            scheduleRetry(this::requestEntryNode);
         } else {
             refusal = refused;
             close();
         }
     }
 
-    private void finish(ProgramAnswer whole) {
-        answer = whole;
+    private void finish(ProgramAnswer completeAnswer) {
+        answer = completeAnswer;
         close();
     }
 
@@ -240,21 +241,21 @@
         endedNanos = fleet.scheduler().nanos();
     }
 
-    /** A caller's own look at its connection: a node that died or fell silent is left for another. */
-    private void watch() {
+    /** Reconnects to another node if the current one died or exceeded the idle timeout. */
+    private void watchConnection() {
         if (closed) {
             return;
         }
-        boolean broken = connectedTo != null && !connectedTo.alive();
-        boolean silent = fleet.scheduler().nanos() - lastReplyNanos > SILENCE.toNanos();
+        boolean broken = connectedTo != null && !connectedTo.isAlive();
+        boolean silent = fleet.scheduler().nanos() - lastReplyNanos > IDLE_TIMEOUT.toNanos();
         if (broken || silent) {
             lastReplyNanos = fleet.scheduler().nanos();
-            askEntry();
+            requestEntryNode();
         }
-        fleet.outside().schedule(PAUSE, this::watch);
+        fleet.externalLoop().schedule(RETRY_DELAY, this::watchConnection);
     }
 
-    private void later(Runnable task) {
-        fleet.outside().schedule(PAUSE, task);
+    private void scheduleRetry(Runnable task) {
+        fleet.externalLoop().schedule(RETRY_DELAY, task);
     }
 }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetNetwork.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/FleetNetwork.java
@@ -8,86 +8,86 @@
 import org.parsleydrift.kernel.codec.MessagePackCodec;
 import org.parsleydrift.node.peer.PeerEnvelope;
 
-/** Connections of a fleet: a delay, and connections or whole ways that fall silent. */
+/** The simulated network of a fleet: a fixed delay, stalled connections and cut routes. */
 public final class FleetNetwork {
     private static final Duration DELAY = Duration.ofMillis(1);
 
-    private final ManualEventLoop wire;
+    private final ManualEventLoop loop;
     private final Fleet fleet;
-    private final Set<String> silentConnections = new HashSet<>();
-    private final Set<String> cutWays = new HashSet<>();
+    private final Set<String> stalledConnections = new HashSet<>();
+    private final Set<String> cutRoutes = new HashSet<>();
     private long frames;
     private long bytes;
 
     FleetNetwork(ManualScheduler scheduler, Fleet fleet) {
-        this.wire = scheduler.newLoop();
+        this.loop = scheduler.newLoop();
         this.fleet = fleet;
     }
 
     /**
-     * Makes the open connection between two ends silent for good; a new one works.
+     * Stalls the open connection between two endpoints until it is reset.
      *
      * @param from one end
      * @param to the other end
      */
-    public void silence(String from, String to) {
-        silentConnections.add(from + ">" + to);
+    public void stall(String from, String to) {
+        stalledConnections.add(from + ">" + to);
     }
 
     /**
-     * Opens a new connection.
+     * Replaces a stalled connection by a new one.
      *
      * @param from one end
      * @param to the other end
      */
     public void reset(String from, String to) {
-        silentConnections.remove(from + ">" + to);
+        stalledConnections.remove(from + ">" + to);
     }
 
     /**
-     * Cuts a way, or heals it; while it is cut no connection works.
+     * Cuts or restores the route in one direction; nothing is delivered on a cut route.
      *
      * @param from one end
      * @param to the other end
-     * @param cut whether it is cut
+     * @param cut true to cut the route, false to restore it
      */
     public void cut(String from, String to, boolean cut) {
         if (cut) {
-            cutWays.add(from + ">" + to);
+            cutRoutes.add(from + ">" + to);
         } else {
-            cutWays.remove(from + ">" + to);
+            cutRoutes.remove(from + ">" + to);
         }
     }
 
-    /** Heals all ways. */
+    /** Restores all cut routes. */
     public void heal() {
-        cutWays.clear();
+        cutRoutes.clear();
     }
 
     /**
-     * Whether something sent arrives.
+     * Returns whether traffic in one direction is delivered.
      *
      * @param from one end
      * @param to the other end
-     * @return false if it is lost
+     * @return false if the connection is stalled or the route is cut
      */
-    public boolean passes(String from, String to) {
-        return !silentConnections.contains(from + ">" + to) && !cutWays.contains(from + ">" + to);
+    public boolean isReachable(String from, String to) {
+        return !stalledConnections.contains(from + ">" + to) && !cutRoutes.contains(from + ">" + to);
     }
 
     /**
-     * Frames between nodes since the start.
+     * Returns the number of frames sent between nodes.
      *
-     * @return their number
+     * @return the count since the start, including lost frames
      */
     public long frames() {
         return frames;
     }
 
     /**
-     * Bytes between nodes since the start.
+     * Returns the number of bytes sent between nodes.
      *
-     * @return their number
+     * @return the count since the start, including lost frames
      */
     public long bytes() {
         return bytes;
@@ -97,12 +97,12 @@
         byte[] frame = MessagePackCodec.encode(envelope);
         frames++;
         bytes += frame.length;
-        if (!passes(from, to)) {
+        if (!isReachable(from, to)) {
             return;
         }
-        wire.schedule(
+        loop.schedule(
                 DELAY,
-                () -> fleet.live().stream()
+                () -> fleet.liveNodes().stream()
                         .filter(node -> node.settings().link().equals(to))
                         .findFirst()
                         .ifPresent(node -> node.receive(MessagePackCodec.decode(frame, PeerEnvelope.class, from))));
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/Soak.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/Soak.java
@@ -13,26 +13,26 @@
 import org.parsleydrift.standin.StandInEngine;
 import org.parsleydrift.standin.ToolFaults;
 
-/** A randomised run: thousands of programs under faults of every kind, checked against what must always hold. */
+/** A randomised run: executes programs under injected faults and verifies the scheduler's invariants. */
 public final class Soak {
     private static final Duration STEP = Duration.ofMillis(100);
     private static final Duration MEAN_FAULT_PAUSE = Duration.ofMillis(400);
     private static final Duration SETTLE = Duration.ofSeconds(90);
-    private static final Duration STUCK = Duration.ofMinutes(3);
+    private static final Duration PROGRESS_TIMEOUT = Duration.ofMinutes(3);
     private static final int PROMPT_BUDGET_TOKENS = 4000;
 
     private final SoakOptions options;
     private final Fleet fleet;
     private final FaultInjector faults;
-    private final List<FleetCaller> open = new ArrayList<>();
+    private final List<FleetCaller> activeCallers = new ArrayList<>();
     private final Map<String, Integer> ends = new TreeMap<>();
     private final Map<String, FleetCaller> refusedNotRun = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
 
     /**
-     * Makes a run.
+     * Creates a run.
      *
-     * @param options seed, size and faults
+     * @param options the seed, size and faults
      */
     public Soak(SoakOptions options) {
         this.options = options;
@@ -41,35 +41,36 @@
     }
 
     /**
-     * Runs to the end.
+     * Runs all programs, removes the faults and verifies the invariants.
      *
-     * @return what was found
+     * @return the report with any violations
      */
     public SoakReport run() {
         fleet.submit(fleet.manifest(64));
         PromptGenerator prompts = new PromptGenerator(fleet.random().split());
-        faults.begin(MEAN_FAULT_PAUSE);
+        faults.scheduleNext(MEAN_FAULT_PAUSE);
         int submitted = 0;
         long lastProgressNanos = fleet.scheduler().nanos();
-        while (submitted < options.programs() || !open.isEmpty()) {
-            while (submitted < options.programs() && open.size() < options.atOnce()) {
+        while (submitted < options.programs() || !activeCallers.isEmpty()) {
+            while (submitted < options.programs() && activeCallers.size() < options.maxConcurrent()) {
                 submitted++;
                 FleetCaller caller = new FleetCaller(fleet, "p" + submitted, prompts.next(), prompts.messages());
-                open.add(caller);
+                activeCallers.add(caller);
                 caller.begin();
             }
             fleet.advance(STEP);
-            fleet.live().forEach(FleetNode::checkGeneration);
-            if (collect() > 0) {
+            fleet.liveNodes().forEach(FleetNode::checkGeneration);
+            if (collectFinished() > 0) {
                 lastProgressNanos = fleet.scheduler().nanos();
             }
-            if (fleet.scheduler().nanos() - lastProgressNanos > STUCK.toNanos()) {
-                open.forEach(caller -> violations.add("stuck: " + caller.id()));
+            if (fleet.scheduler().nanos() - lastProgressNanos > PROGRESS_TIMEOUT.toNanos()) {
+                activeCallers.forEach(caller -> violations.add(
+                        "no program ended within " + PROGRESS_TIMEOUT + ", still running: " + caller.id()));
                 break;
             }
         }
         long virtual = fleet.scheduler().nanos();
-        settle();
+        removeFaults();
         checkAfterwards();
         return new SoakReport(
                 options.seed(),
@@ -77,7 +78,7 @@
                 ends,
                 faults.counts(),
                 effects().values().stream().mapToLong(each -> each).sum(),
-                fleet.live().stream()
+                fleet.liveNodes().stream()
                         .flatMap(node -> node.node().programs().values().stream())
                         .mapToLong(state -> state.unknown().size())
                         .sum(),
@@ -87,7 +88,7 @@
     }
 
     /**
-     * The fleet, for a look after the run.
+     * Returns the fleet for inspection after the run.
      *
      * @return the fleet
      */
@@ -95,39 +96,40 @@
         return fleet;
     }
 
-    private int collect() {
-        List<FleetCaller> done = open.stream().filter(FleetCaller::done).toList();
-        open.removeAll(done);
-        done.forEach(this::judge);
+    private int collectFinished() {
+        List<FleetCaller> done =
+                activeCallers.stream().filter(FleetCaller::isDone).toList();
+        activeCallers.removeAll(done);
+        done.forEach(this::recordResult);
         return done.size();
     }
 
-    private void judge(FleetCaller caller) {
+    private void recordResult(FleetCaller caller) {
         if (caller.refusal() != null) {
             ends.merge("refused_" + caller.refusal().kind().name().toLowerCase(java.util.Locale.ROOT), 1, Integer::sum);
             if (caller.refusal().kind() == RefusalKind.NOT_RUN) {
                 refusedNotRun.put(String.valueOf(caller.id()), caller);
             } else {
-                violations.add("refused: " + caller.id() + " " + caller.refusal());
+                violations.add("unexpected refusal: " + caller.id() + " " + caller.refusal());
             }
             return;
         }
         ends.merge(caller.answer().end(), 1, Integer::sum);
-        if ("complete".equals(caller.answer().end()) && !caller.fault().isEmpty()) {
-            violations.add("answer: " + caller.id() + " " + caller.fault());
+        if ("complete".equals(caller.answer().end()) && !caller.describeFault().isEmpty()) {
+            violations.add("wrong answer: " + caller.id() + " " + caller.describeFault());
         }
         if (Set.of("failed", "loop", "cancelled").contains(caller.answer().end())) {
-            violations.add("end: " + caller.id() + " " + caller.fault());
+            violations.add("unexpected end: " + caller.id() + " " + caller.describeFault());
         }
     }
 
-    private void settle() {
+    private void removeFaults() {
         faults.stop();
         fleet.network().heal();
         fleet.store().faults(PlatformFaults.NONE);
         fleet.engines().values().forEach(engine -> engine.faults(EngineFaults.NONE));
         fleet.tools().values().forEach(tool -> tool.faults(ToolFaults.NONE));
-        fleet.live().stream().filter(FleetNode::frozen).forEach(FleetNode::thaw);
+        fleet.liveNodes().stream().filter(FleetNode::isPaused).forEach(FleetNode::resume);
         fleet.advance(SETTLE);
     }
 
@@ -136,27 +138,27 @@
         checkOrder();
         checkEngines();
         checkManifests();
-        fleet.live()
+        fleet.liveNodes()
                 .forEach(node -> node.node().programs().values().stream()
                         .filter(state -> !state.hasEnded())
                         .filter(state -> refusedNotRun.containsKey(state.id().toString()))
-                        .forEach(state -> violations.add("refused as not run, and runs: " + state.id())));
+                        .forEach(state -> violations.add("refused as not run, but is running: " + state.id())));
     }
 
-    /** No effect twice, and none of a program that was refused as not run. */
+    /** Verifies that non-idempotent calls ran at most once, and none of a program refused as not run. */
     private void checkEffects() {
         effects().forEach((effect, count) -> {
             if (count > 1 && effect.endsWith(" once")) {
-                violations.add("doubled " + count + " times: " + effect);
+                violations.add("non-idempotent call ran " + count + " times: " + effect);
             }
             String program = effect.substring(0, effect.indexOf('/'));
             if (refusedNotRun.containsKey(program)) {
-                violations.add("refused as not run, and ran: " + effect);
+                violations.add("refused as not run, but a call ran: " + effect);
             }
         });
     }
 
-    /** The non-idempotent calls of an agent ran in the order of its turns. */
+    /** Verifies that the non-idempotent calls of an agent ran in the order of its turns. */
     private void checkOrder() {
         Map<String, Long> first = new HashMap<>();
         fleet.tools().values().forEach(tool -> first.putAll(tool.firstNanos()));
@@ -170,35 +172,36 @@
                     String place = String.format("%06d/%06d", Integer.parseInt(parts[2]), Integer.parseInt(parts[3]));
                     String before = lastByAgent.put(agent, place);
                     if (before != null && before.compareTo(place) > 0) {
-                        violations.add("order: " + entry.getKey() + " after " + before);
+                        violations.add("call out of order: " + entry.getKey() + " ran after " + before);
                     }
                 });
     }
 
-    /** Engines hold nothing of programs that are over, and generated no more than budgets allow. */
+    /** Verifies that engines released all memory and generated no more tokens than budgets allow. */
     private void checkEngines() {
         Map<String, Long> generated = new HashMap<>();
         for (StandInEngine engine : fleet.engines().values()) {
-            engine.memory().forEach(held -> violations.add("memory held: " + held));
+            engine.memory().forEach(held -> violations.add("engine memory not released: " + held));
             engine.generated().forEach((owner, tokens) -> generated.merge(owner, tokens, Long::sum));
         }
         generated.forEach((owner, tokens) -> {
             if (tokens > PROMPT_BUDGET_TOKENS) {
-                violations.add("budget: " + owner + " generated " + tokens);
+                violations.add("budget exceeded: " + owner + " generated " + tokens + " tokens, limit "
+                        + PROMPT_BUDGET_TOKENS);
             }
             if (refusedNotRun.containsKey(owner)) {
-                violations.add("refused as not run, and generated: " + owner);
+                violations.add("refused as not run, but generated tokens: " + owner);
             }
         });
     }
 
     private void checkManifests() {
-        long generations = fleet.live().stream()
+        long generations = fleet.liveNodes().stream()
                 .map(node -> node.node().manifest().generation())
                 .distinct()
                 .count();
         if (generations != 1) {
-            violations.add("manifest generations differ: " + generations);
+            violations.add("live nodes have " + generations + " distinct manifest generations, expected 1");
         }
     }
 
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SoakMain.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/SoakMain.java
@@ -13,19 +13,19 @@
 import org.parsleydrift.kernel.RuntimeClock;
 import org.parsleydrift.kernel.SystemClock;
 
-/** Runs randomised runs: {@code bin/soak --seed N --programs N}. */
+/** Command-line entry point of randomised runs: {@code bin/soak --seed N --programs N}. */
 public final class SoakMain {
-    private static final int USAGE = 2;
-    private static final int CHUNK = 2000;
-    private static final int SHOWN = 20;
+    private static final int EXIT_USAGE = 2;
+    private static final int PROGRAMS_PER_RUN = 2000;
+    private static final int MAX_PRINTED_VIOLATIONS = 20;
 
     private SoakMain() {}
 
     /**
-     * Runs and prints one line per run, then a sum; exits with 1 if anything was violated.
+     * Prints one line per run and a total; exits with 1 if an invariant was violated, with 2 on invalid arguments.
      *
      * @param arguments see {@code --help}
-     * @throws IOException if help can't be printed
+     * @throws IOException if the help can't be printed
      */
     public static void main(String[] arguments) throws IOException {
         OptionParser parser = new OptionParser();
@@ -33,11 +33,11 @@
                 .withRequiredArg()
                 .ofType(Long.class)
                 .defaultsTo(1L);
-        OptionSpec<Integer> programs = parser.accepts("programs", "programs in all")
+        OptionSpec<Integer> programs = parser.accepts("programs", "total number of programs")
                 .withRequiredArg()
                 .ofType(Integer.class)
-                .defaultsTo(CHUNK);
-        OptionSpec<String> kinds = parser.accepts("faults", "kinds of fault by commas; all if absent, none for none")
+                .defaultsTo(PROGRAMS_PER_RUN);
+        OptionSpec<String> kinds = parser.accepts("faults", "comma-separated kinds of fault, or none; all by default")
                 .withRequiredArg();
         parser.accepts("help", "print this").forHelp();
         OptionSet options;
@@ -45,7 +45,7 @@
             options = parser.parse(arguments);
         } catch (OptionException fault) {
             System.err.println("soak: " + fault.getMessage());
-            System.exit(USAGE);
+            System.exit(EXIT_USAGE);
             return;
         }
         if (options.has("help")) {
@@ -60,19 +60,21 @@
         long calls = 0;
         long injected = 0;
         RuntimeClock clock = new SystemClock();
-        long begun = clock.nanos();
-        for (int done = 0, round = 0; done < programs; done += CHUNK, round++) {
-            int size = Math.min(CHUNK, programs - done);
+        long startNanos = clock.nanos();
+        for (int done = 0, round = 0; done < programs; done += PROGRAMS_PER_RUN, round++) {
+            int size = Math.min(PROGRAMS_PER_RUN, programs - done);
             SoakReport report = new Soak(new SoakOptions(seed + round, 5, size, 50, faults)).run();
             System.out.println(report.line() + " by_kind=" + report.faults());
-            report.violations().stream().limit(SHOWN).forEach(each -> System.out.println("  violation " + each));
+            report.violations().stream()
+                    .limit(MAX_PRINTED_VIOLATIONS)
+                    .forEach(each -> System.out.println("  violation " + each));
             violations += report.violations().size();
             calls += report.calls();
             injected += report.faults().values().stream().mapToInt(each -> each).sum();
         }
         System.out.println("soak total programs=" + programs + " calls=" + calls + " faults=" + injected
                 + " violations=" + violations + " wall_s="
-                + Duration.ofNanos(clock.nanos() - begun).toSeconds());
+                + Duration.ofNanos(clock.nanos() - startNanos).toSeconds());
         return violations == 0 ? 0 : 1;
     }
 
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/Policy.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/Policy.java
@@ -8,95 +8,100 @@
 import org.parsleydrift.placement.Candidate;
 import org.parsleydrift.placement.RunnerChoice;
 
-/** A way to choose the engine of a turn. */
+/** A policy that chooses the engine of a turn. */
 public sealed interface Policy {
-    /** Engines in turn, whatever their load. */
+    /** Chooses engines with a free slot in rotation, regardless of load. */
     record RoundRobin() implements Policy {}
 
-    /** The least loaded, whatever it has read. */
+    /** Chooses the least loaded engine, regardless of its cache. */
     record LeastLoaded() implements Policy {}
 
-    /** The engine of the program's last turn while it has a place, else the least loaded. */
+    /** Chooses the engine of the program's last turn if it has a free slot, otherwise the least loaded. */
     record Sticky() implements Policy {}
 
-    /** The engine of the program's last turn while it has at most one request more than the least loaded. */
+    /** Chooses the last engine if it has at most one request more than the least loaded, otherwise the least loaded. */
     record OneMore() implements Policy {}
 
     /**
-     * The product's own, {@link RunnerChoice}, with its mechanisms one by one.
+     * The scheduler's cache-aware policy, {@link RunnerChoice}, whose mechanisms can be disabled one by one.
      *
-     * @param heard whether it knows from the grants what engines hold by other nodes' turns
-     * @param waits whether a turn waits for a full engine that holds its prompt
-     * @param drawn engines that hold nothing of the prompt and are drawn by lot; 0 for all. The product draws two
+     * @param heard whether grants tell which parts engines cached in turns placed by other nodes
+     * @param waits whether a turn waits for a full engine that caches its prompt
+     * @param drawn number of randomly sampled engines without a cached part of the prompt; 0 for all of them
      */
     record HeldParts(boolean heard, boolean waits, int drawn) implements Policy {
-        /** All mechanisms at work. */
+        /** Creates the policy with the scheduler's settings. */
         public HeldParts() {
             this(true, true, 2);
         }
     }
 
     /**
-     * Whether turns are placed with what the grants say.
+     * Returns whether placement uses the cached parts reported by grants.
      *
-     * @return false where that mechanism is off
+     * @return false if that mechanism is disabled
      */
-    default boolean hears() {
+    default boolean usesGrants() {
         return !(this instanceof HeldParts parts) || parts.heard();
     }
 
     /**
-     * What is known when a turn is placed.
+     * The input of a placement decision.
      *
-     * @param candidates the engines
-     * @param lastEngine the life of the engine of the program's last turn; empty for none
-     * @param usualMissing tokens that a usual turn has to read
-     * @param anywhere whether the turn has waited nearly as long as it may
-     * @param turn counts placements
+     * @param candidates all engines with their load and uncached tokens
+     * @param lastEngine incarnation of the engine of the program's last turn; empty before the first
+     * @param meanUncachedTokens moving average of the uncached tokens of a placed turn
+     * @param isWaitExhausted whether the turn exceeded its maximum wait for a caching engine
+     * @param placementCount number of placements made so far
      */
-    record Situation(List<Candidate> candidates, String lastEngine, double usualMissing, boolean anywhere, int turn) {}
+    record PlacementContext(
+            List<Candidate> candidates,
+            String lastEngine,
+            double meanUncachedTokens,
+            boolean isWaitExhausted,
+            int placementCount) {}
 
     /**
-     * Chooses an engine.
+     * Chooses an engine for a turn.
      *
-     * @param situation what is known
-     * @param random breaks ties
-     * @return the engine; empty to wait
+     * @param context the input of the decision
+     * @param random random generator for tie-breaking and sampling
+     * @return the engine, or empty if the turn must wait
      */
-    default Optional<Candidate> choose(Situation situation, RandomGenerator random) {
+    default Optional<Candidate> choose(PlacementContext context, RandomGenerator random) {
         return switch (this) {
             case RoundRobin ignored ->
-                withPlace(situation)
-                        .skip(situation.turn()
-                                % Math.max(1, withPlace(situation).count()))
+                withFreeSlot(context)
+                        .skip(context.placementCount()
+                                % Math.max(1, withFreeSlot(context).count()))
                         .findFirst();
-            case LeastLoaded ignored -> least(situation, random);
-            case Sticky ignored -> last(situation, Integer.MAX_VALUE).or(() -> least(situation, random));
-            case OneMore ignored -> last(situation, 1).or(() -> least(situation, random));
+            case LeastLoaded ignored -> leastLoaded(context, random);
+            case Sticky ignored -> lastUsed(context, Integer.MAX_VALUE).or(() -> leastLoaded(context, random));
+            case OneMore ignored -> lastUsed(context, 1).or(() -> leastLoaded(context, random));
             case HeldParts parts ->
                 RunnerChoice.choose(
-                        situation.candidates(),
-                        situation.usualMissing(),
-                        situation.anywhere() || !parts.waits(),
+                        context.candidates(),
+                        context.meanUncachedTokens(),
+                        context.isWaitExhausted() || !parts.waits(),
                         parts.drawn(),
                         random);
         };
     }
 
-    private static Stream<Candidate> withPlace(Situation situation) {
-        return situation.candidates().stream()
+    private static Stream<Candidate> withFreeSlot(PlacementContext context) {
+        return context.candidates().stream()
                 .filter(each -> each.load() < each.runner().slots());
     }
 
-    private static Optional<Candidate> least(Situation situation, RandomGenerator random) {
-        return withPlace(situation).min(Comparator.comparingDouble(each -> each.load() + random.nextDouble()));
+    private static Optional<Candidate> leastLoaded(PlacementContext context, RandomGenerator random) {
+        return withFreeSlot(context).min(Comparator.comparingDouble(each -> each.load() + random.nextDouble()));
     }
 
-    private static Optional<Candidate> last(Situation situation, int allowance) {
+    private static Optional<Candidate> lastUsed(PlacementContext context, int allowance) {
         int least =
-                situation.candidates().stream().mapToInt(Candidate::load).min().orElse(0);
-        return withPlace(situation)
-                .filter(each -> each.runner().incarnation().equals(situation.lastEngine()))
+                context.candidates().stream().mapToInt(Candidate::load).min().orElse(0);
+        return withFreeSlot(context)
+                .filter(each -> each.runner().incarnation().equals(context.lastEngine()))
                 .filter(each -> each.load() - allowance <= least)
                 .findFirst();
     }
--- a/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/ProgramScript.java
+++ b/parsleydrift-bench/src/main/java/org/parsleydrift/bench/decisions/ProgramScript.java
@@ -6,14 +6,14 @@
 import java.util.stream.IntStream;
 
 /**
- * A program drawn before a run.
+ * A randomly generated program, fixed before a run.
  *
- * @param id its id
- * @param beginMillis when its first turn comes, ms
- * @param sharedPart the part that its prompts begin with
- * @param sharedTokens tokens of that part
- * @param turns its main line
- * @param targetMillis time within which it is of full worth, ms
+ * @param id id of the program, unique in the run
+ * @param beginMillis arrival time of the first turn, ms
+ * @param sharedPart id of the shared prefix of its prompts
+ * @param sharedTokens length of the shared prefix, tokens
+ * @param turns turns of the main agent, in order
+ * @param targetMillis target completion time, ms
  */
 public record ProgramScript(
         String id,
@@ -22,29 +22,29 @@
         int sharedTokens,
         List<TurnScript> turns,
         double targetMillis) {
-    /** Multiple of its time on idle engines that a program may take. */
+    /** Ratio of the target completion time to the time on idle engines. */
     private static final double TARGET_FACTOR = 1.5;
-    /** Added to that, ms. */
+    /** Constant part of the target completion time, ms. */
     private static final double TARGET_SLACK_MILLIS = 250;
-    /** The way of a turn between caller and engine, ms. */
-    private static final double WAY_MILLIS = 36;
-    /** Distinct parts that prompts begin with. */
+    /** Network time of a turn between caller and engine, ms. */
+    private static final double NETWORK_DELAY_MILLIS = 36;
+    /** Number of distinct shared prefixes. */
     private static final int SHARED_PARTS = 16;
 
     private static final int SHARED_TOKENS = 512;
     private static final int SUB_AGENT_TURNS = 2;
-    private static final int MOST_OUTPUT = 286;
+    private static final int MAX_OUTPUT_TOKENS = 286;
 
     /**
-     * Draws a program: three in ten are long dialogues of short inputs with many sub-agents, the others shorter.
+     * Generates a program; 30% are long dialogues with short inputs and many sub-agents.
      *
-     * @param id its id
-     * @param beginMillis when it begins, ms
-     * @param random the draws
-     * @param figures the engine that its time on idle engines is reckoned with
+     * @param id id of the program, unique in the run
+     * @param beginMillis arrival time, ms
+     * @param random the random generator
+     * @param parameters engine parameters for the estimated time on idle engines
      * @return the program
      */
-    static ProgramScript draw(String id, double beginMillis, RandomGenerator random, EngineFigures figures) {
+    static ProgramScript generate(String id, double beginMillis, RandomGenerator random, EngineParameters parameters) {
         boolean dialogue = random.nextDouble() < 0.3;
         int turns = Math.max(1, (int) Math.round((dialogue ? 7 : 4) * Math.exp(0.4 * random.nextGaussian())));
         double inputMean = dialogue ? 327 : 654;
@@ -52,11 +52,11 @@
         double pauseMean = dialogue ? 230 : 120;
         List<TurnScript> line = IntStream.range(0, turns)
                 .mapToObj(turn -> {
-                    boolean fans = turn < turns - 1 && random.nextDouble() < fanOut;
-                    return turn(inputMean, pauseMean, fans ? 3 + random.nextInt(5) : 0, random);
+                    boolean hasSubAgents = turn < turns - 1 && random.nextDouble() < fanOut;
+                    return turn(inputMean, pauseMean, hasSubAgents ? 3 + random.nextInt(5) : 0, random);
                 })
                 .toList();
-        double target = TARGET_FACTOR * idleMillis(line, figures, SHARED_TOKENS) + TARGET_SLACK_MILLIS;
+        double target = TARGET_FACTOR * idleMillis(line, parameters, SHARED_TOKENS) + TARGET_SLACK_MILLIS;
         return new ProgramScript(id, beginMillis, "shared" + random.nextInt(SHARED_PARTS), SHARED_TOKENS, line, target);
     }
 
@@ -69,20 +69,20 @@
         }
         int input =
                 (int) Math.max(20, Math.min(5 * inputMean, inputMean * Math.exp(0.7 * random.nextGaussian() - 0.25)));
-        int output = (int) Math.max(11, Math.min(MOST_OUTPUT, 73 * Math.exp(0.8 * random.nextGaussian() - 0.32)));
+        int output = (int) Math.max(11, Math.min(MAX_OUTPUT_TOKENS, 73 * Math.exp(0.8 * random.nextGaussian() - 0.32)));
         double pause = pauseMean * Math.exp(0.6 * random.nextGaussian() - 0.18);
         return new TurnScript(input, output, random.nextDouble(), pause, subAgents);
     }
 
-    private static double idleMillis(List<TurnScript> line, EngineFigures figures, int firstShared) {
-        double sum = firstShared / figures.readTokensPerMilli();
+    private static double idleMillis(List<TurnScript> line, EngineParameters parameters, int firstShared) {
+        double sum = firstShared / parameters.prefillTokensPerMilli();
         for (TurnScript turn : line) {
-            sum += WAY_MILLIS
-                    + turn.newTokens() / figures.readTokensPerMilli()
-                    + turn.outputTokens() * figures.stepMillis()
+            sum += NETWORK_DELAY_MILLIS
+                    + turn.newTokens() / parameters.prefillTokensPerMilli()
+                    + turn.outputTokens() * parameters.stepMillis()
                     + turn.pauseMillis();
             sum += turn.subAgents().stream()
-                    .mapToDouble(each -> idleMillis(each, figures, 0))
+                    .mapToDouble(each -> idleMillis(each, parameters, 0))
                     .max()
                     .orElse(0);
         }
--- a/parsleydrift-bench/src/test/java/org/parsleydrift/bench/PromiseTest.java
+++ b/parsleydrift-bench/src/test/java/org/parsleydrift/bench/PromiseTest.java
@@ -18,11 +18,11 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The promises of the brief under single failures, on an in-memory fleet (docs/PROMISES.md). */
+/** Guarantees of the scheduler under single faults, on an in-memory fleet (docs/PROMISES.md). */
 public class PromiseTest {
-    private static final String DEBATE = "d <say 4 / say 3, tool once {\"n\":1} / say 3, spawn a <say 2, end>,"
+    private static final String SCRIPT = "d <say 4 / say 3, tool once {\"n\":1} / say 3, spawn a <say 2, end>,"
             + " spawn a <say 3, tool often {\"n\":2} / say 2, end> / say 3, tool once {\"n\":3} / say 2, end>";
-    private static final Duration LONG = Duration.ofMinutes(3);
+    private static final Duration TIMEOUT = Duration.ofMinutes(3);
 
     private Fleet fleet;
 
@@ -35,19 +35,16 @@
 
     @Test
     public void programsCompleteWithoutFaults() {
-        List<FleetCaller> callers = begin(20, DEBATE, 0);
+        List<FleetCaller> callers = begin(20, SCRIPT, 0);
         awaitDone(callers);
-        assertAllWhole(callers);
-        assertNoDoubledEffect();
+        assertAllComplete(callers);
+        assertNoRepeatedEffect();
     }
 
-    /**
-     * Symptom: a half-argued debate never ends, or its registry number is assigned twice. Events: each node in turn dies
-     * at a random point of many programs' turns and calls, and comes back with nothing. Cause: state kept in a process.
-     */
+    /** Guards against lost programs and repeated non-idempotent calls when nodes are killed and restarted. */
     @Test
-    public void killedOwnerLosesNothingAndDoublesNothing() {
-        List<FleetCaller> callers = begin(40, DEBATE, 0);
+    public void killedOwnerLosesAndRepeatsNothing() {
+        List<FleetCaller> callers = begin(40, SCRIPT, 0);
         fleet.advance(Duration.ofMillis(120));
         List.copyOf(fleet.nodes()).forEach(node -> {
             node.kill();
@@ -56,146 +53,122 @@
             fleet.advance(Duration.ofSeconds(3));
         });
         awaitDone(callers);
-        assertAllWhole(callers);
-        assertNoDoubledEffect();
+        assertAllComplete(callers);
+        assertNoRepeatedEffect();
     }
 
-    /**
-     * Symptom: a crew is sent twice, or after the steps that follow. Events: the owner pauses for longer than it takes
-     * the others to seal its journal, then wakes with intents in hand. Cause: a right to act that lapsed unnoticed.
-     */
+    /** Guards against calls by an owner that resumes after its peers have sealed its journal. */
     @Test
-    public void pausedOwnerWakesAndIsFenced() {
-        List<FleetCaller> callers = begin(40, DEBATE, 0);
+    public void pausedOwnerIsFencedAfterResume() {
+        List<FleetCaller> callers = begin(40, SCRIPT, 0);
         fleet.advance(Duration.ofMillis(150));
         FleetNode owner = fleet.nodes().getFirst();
         String before = owner.node().status().node();
-        owner.freeze();
+        owner.pause();
         fleet.advance(Duration.ofSeconds(8));
-        owner.thaw();
+        owner.resume();
         awaitDone(callers);
-        assertAllWhole(callers);
-        assertNoDoubledEffect();
+        assertAllComplete(callers);
+        assertNoRepeatedEffect();
         fleet.awaitTrue(
                 Duration.ofSeconds(10), () -> !owner.node().status().node().equals(before));
     }
 
-    /**
-     * Symptom: a number is assigned twice after a crash. Events: the tool runs the call, its answer is lost, the owner
-     * dies before it gives up waiting. Cause: a successor that sends an intent without an outcome again.
-     */
+    /** Guards against a successor that repeats a non-idempotent call whose outcome is unknown. */
     @Test
     public void intentWithoutOutcomeIsNeverSentAgain() {
         fleet.tools().values().forEach(tool -> tool.faults(new ToolFaults(false, false, 1.0)));
         FleetCaller caller =
                 begin(1, "d <say 2, tool once {\"n\":1} / say 2, end>", 0).getFirst();
-        fleet.awaitTrue(LONG, () -> !effects().isEmpty());
+        fleet.awaitTrue(TIMEOUT, () -> !effects().isEmpty());
         owner(caller).kill();
         awaitDone(List.of(caller));
-        assertAllWhole(List.of(caller));
+        assertAllComplete(List.of(caller));
         assertEquals(effects().values().stream().mapToInt(each -> each).sum(), 1);
     }
 
-    /**
-     * Symptom: after a short loss of the platform's answers, programs stand still or run twice. Events: changes take
-     * effect and their answers are lost, for segments, node records and manifests alike. Cause: a write taken for failed.
-     */
+    /** Guards against treating a write as failed when it took effect and only the platform's response was lost. */
     @Test
     public void lostAnswersOfThePlatformAreReadBack() {
         fleet.store().faults(new PlatformFaults(false, 0, 0.5, true, 0));
-        List<FleetCaller> callers = begin(20, DEBATE, 0);
+        List<FleetCaller> callers = begin(20, SCRIPT, 0);
         fleet.advance(Duration.ofSeconds(40));
         fleet.store().faults(PlatformFaults.NONE);
         awaitDone(callers);
-        assertAllWhole(callers);
-        assertNoDoubledEffect();
+        assertAllComplete(callers);
+        assertNoRepeatedEffect();
     }
 
-    /**
-     * Symptom: a caller is told "not run" and the crew comes all the same. Events: the platform is down for ten minutes
-     * under load. Cause: a refusal given after something was handed to the journal.
-     */
+    /** Guards against effects of programs that were refused as not run during a platform outage. */
     @Test
-    public void outageRefusesTruthfullyAndRunsOnAfterwards() {
-        List<FleetCaller> early = begin(10, DEBATE, 0);
+    public void programsRefusedDuringOutageHaveNoEffects() {
+        List<FleetCaller> early = begin(10, SCRIPT, 0);
         fleet.advance(Duration.ofMillis(100));
         fleet.store().faults(new PlatformFaults(true, 0, 0, false, 0));
         fleet.advance(Duration.ofSeconds(10));
-        List<FleetCaller> refused = begin(10, DEBATE, 100);
+        List<FleetCaller> refused = begin(10, SCRIPT, 100);
         fleet.advance(Duration.ofMinutes(10));
         fleet.store().faults(PlatformFaults.NONE);
         awaitDone(early);
         awaitDone(refused);
-        assertAllWhole(early);
+        assertAllComplete(early);
         refused.stream().filter(caller -> caller.refusal() != null).forEach(caller -> {
             assertEquals(caller.refusal().kind(), RefusalKind.NOT_RUN);
             assertTrue(effects().keySet().stream()
                     .noneMatch(effect -> effect.startsWith(String.valueOf(caller.id()) + "/")));
         });
-        assertNoDoubledEffect();
+        assertNoRepeatedEffect();
     }
 
-    /**
-     * Symptom: all requests across one pair of nodes hang although both are well. Events: open connections between all
-     * nodes fall silent for good; new ones work. Cause: a connection trusted for ever.
-     */
+    /** Guards against requests that hang on stalled connections between healthy nodes. */
     @Test
     public void silentConnectionsAreReplaced() {
-        List<FleetCaller> callers = begin(20, DEBATE, 0);
+        List<FleetCaller> callers = begin(20, SCRIPT, 0);
         fleet.advance(Duration.ofMillis(60));
         fleet.nodes()
                 .forEach(from -> fleet.nodes()
                         .forEach(to -> fleet.network()
-                                .silence(from.settings().link(), to.settings().link())));
+                                .stall(from.settings().link(), to.settings().link())));
         awaitDone(callers);
-        assertAllWhole(callers);
+        assertAllComplete(callers);
     }
 
-    /**
-     * Symptom: a restart cuts answers. Events: every node in turn is drained and replaced under load. Cause: a process
-     * that exits with programs or callers in hand.
-     */
+    /** Guards against a drained process that exits before its programs and callers have moved to other nodes. */
     @Test
-    public void drainOfEveryNodeCutsNothing() {
+    public void drainOfEveryNodeAbortsNoProgram() {
         List<FleetCaller> callers = new ArrayList<>();
         List<FleetNode> first = List.copyOf(fleet.nodes());
         for (FleetNode node : first) {
-            callers.addAll(begin(15, DEBATE, 100 * callers.size()));
+            callers.addAll(begin(15, SCRIPT, 100 * callers.size()));
             fleet.advance(Duration.ofMillis(100));
             fleet.addNode();
             boolean[] exited = {false};
             node.drain().thenRun(() -> exited[0] = true);
-            fleet.awaitTrue(LONG, () -> exited[0]);
+            fleet.awaitTrue(TIMEOUT, () -> exited[0]);
             assertEquals(node.node().programs().size(), 0);
             node.kill();
         }
         awaitDone(callers);
-        assertAllWhole(callers);
-        assertNoDoubledEffect();
+        assertAllComplete(callers);
+        assertNoRepeatedEffect();
     }
 
-    /**
-     * Symptom: a dead node's programs stand still, and it is suspected again and again without end. Events: a node dies;
-     * each of the others is told by another that it was heard. Cause: hearsay taken for hearing.
-     */
+    /** Guards against peers that keep a dead node alive by relaying outdated reports of its heartbeats. */
     @Test
-    public void deadNodeIsNotKeptAliveByHearsay() {
+    public void deadNodeIsNotKeptAliveByPeerReports() {
         FleetNode dead = fleet.nodes().getFirst();
         String name = dead.node().status().node();
         dead.kill();
         fleet.advance(Duration.ofSeconds(8));
-        fleet.live()
+        fleet.liveNodes()
                 .forEach(node -> assertTrue(node.node().status().peers().stream()
                         .noneMatch(peer -> peer.node().equals(name))));
     }
 
-    /**
-     * Symptom: engine memory fills with programs nobody knows. Events: owners die with streams and cached prefixes on
-     * the engines; programs end. Cause: only the dead node knew what to free.
-     */
+    /** Guards against engine memory that is never released after the owner of its programs died. */
     @Test
-    public void engineMemoryOfGoneProgramsIsFreed() {
-        List<FleetCaller> callers = begin(20, DEBATE, 0);
+    public void engineMemoryOfEndedProgramsIsReleased() {
+        List<FleetCaller> callers = begin(20, SCRIPT, 0);
         fleet.advance(Duration.ofMillis(200));
         FleetNode node = fleet.nodes().getFirst();
         node.kill();
@@ -204,29 +177,23 @@
         fleet.engines().values().forEach(engine -> assertEquals(engine.memory(), List.of()));
     }
 
-    /**
-     * Symptom: a leaving engine gets turns until it is gone, and they break. Events: an engine refuses as leaving under
-     * load. Cause: a list of VMs that lags is the only thing looked at.
-     */
+    /** Guards against turns sent to an engine that is leaving but still listed by the platform. */
     @Test
-    public void leavingEngineGetsNothingNew() {
+    public void leavingEngineGetsNoNewTurns() {
         var leaving = fleet.engines().values().iterator().next();
         leaving.faults(new EngineFaults(true, false, 0));
-        List<FleetCaller> callers = begin(20, DEBATE, 0);
+        List<FleetCaller> callers = begin(20, SCRIPT, 0);
         awaitDone(callers);
-        assertAllWhole(callers);
+        assertAllComplete(callers);
         assertEquals(leaving.turnsAccepted(), 0);
     }
 
-    /**
-     * Symptom: two operators both believe that theirs is in force. Events: manifests are submitted to all nodes at one
-     * moment, each expecting the present generation. Cause: an update without a condition.
-     */
+    /** Guards against concurrent manifest updates that are both accepted for the same expected generation. */
     @Test
     public void racingManifestsHaveOneWinner() {
         int[] won = {0};
         int[] lost = {0};
-        List<FleetNode> live = fleet.live();
+        List<FleetNode> live = fleet.liveNodes();
         for (int i = 0; i < live.size(); i++) {
             FleetNode node = live.get(i);
             String text = fleet.manifest(40 + i);
@@ -241,13 +208,10 @@
         fleet.advance(Duration.ofSeconds(5));
         assertEquals(won[0], 1);
         assertEquals(lost[0], 2);
-        fleet.live().forEach(node -> assertEquals(node.node().manifest().generation(), 2));
+        fleet.liveNodes().forEach(node -> assertEquals(node.node().manifest().generation(), 2));
     }
 
-    /**
-     * Symptom: a node that starts during an outage serves an old manifest or none. Events: the platform is down, a node
-     * starts and has only peers to ask. Cause: the platform as the only source.
-     */
+    /** Guards against a node that can't obtain the manifest when it starts during a platform outage. */
     @Test
     public void nodeThatStartsInAnOutageAsksItsPeers() {
         fleet.store().faults(new PlatformFaults(true, 0, 0, false, 0));
@@ -255,13 +219,10 @@
         late.run(() -> late.node()
                 .setSeedPeers(List.of(fleet.nodes().getFirst().settings().link())));
         fleet.awaitTrue(Duration.ofSeconds(30), () -> late.node().manifest().generation() == 1);
-        assertFalse(late.node().isReady(), "it must not own programs before it is registered");
+        assertFalse(late.node().isReady(), "an unregistered node must not be ready");
     }
 
-    /**
-     * Symptom: a program loops without end and burns an engine. Events: the model asks for the same call again and
-     * again, or never ends. Cause: a limit that is checked nowhere.
-     */
+    /** Guards against programs that repeat the same call or exceed their budget without being stopped. */
     @Test
     public void loopsAndEndlessProgramsAreStopped() {
         String same = "say 1, tool often {\"n\":1} / ";
@@ -286,11 +247,11 @@
     }
 
     private void awaitDone(List<FleetCaller> callers) {
-        fleet.awaitTrue(Duration.ofMinutes(10), () -> callers.stream().allMatch(FleetCaller::done));
+        fleet.awaitTrue(Duration.ofMinutes(10), () -> callers.stream().allMatch(FleetCaller::isDone));
     }
 
     private FleetNode owner(FleetCaller caller) {
-        FleetNode owner = fleet.live().stream()
+        FleetNode owner = fleet.liveNodes().stream()
                 .filter(node -> node.node().programs().containsKey(caller.id()))
                 .findFirst()
                 .orElse(null);
@@ -298,11 +259,11 @@
         return owner;
     }
 
-    private static void assertAllWhole(List<FleetCaller> callers) {
-        callers.forEach(caller -> assertEquals(caller.fault(), "", String.valueOf(caller.id())));
+    private static void assertAllComplete(List<FleetCaller> callers) {
+        callers.forEach(caller -> assertEquals(caller.describeFault(), "", String.valueOf(caller.id())));
     }
 
-    private void assertNoDoubledEffect() {
+    private void assertNoRepeatedEffect() {
         effects().forEach((effect, count) -> assertTrue(count == 1 || !effect.endsWith(" once"), effect + " " + count));
     }
 
--- a/parsleydrift-bench/src/test/java/org/parsleydrift/bench/SoakTest.java
+++ b/parsleydrift-bench/src/test/java/org/parsleydrift/bench/SoakTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Short randomised runs with faults of every kind; {@code bin/soak} makes long ones. */
+/** Short randomised runs with faults of every kind; {@code bin/soak} executes long ones. */
 public class SoakTest {
     @DataProvider
     public Object[][] seeds() {
@@ -14,19 +14,18 @@
     }
 
     /**
-     * Symptom: anything that must always hold does not. Events: nodes die, pause and drain, connections fall silent, the
-     * platform is down, slow or loses answers, engines and tools fail, operators race, several at a time. Cause: as the
-     * seed shows; run it with {@code PARSLEYDRIFT_LOG=INFO bin/soak --seed N}.
+     * Guards against violations of any invariant under overlapping faults. A failing seed is reproduced with logs by
+     * {@code PARSLEYDRIFT_LOG=INFO bin/soak --seed N}.
      */
     @Test(dataProvider = "seeds")
-    public void nothingIsViolatedUnderAllFaults(long seed) {
-        SoakReport report = new Soak(SoakOptions.everything(seed, 600)).run();
+    public void invariantsHoldUnderAllFaults(long seed) {
+        SoakReport report = new Soak(SoakOptions.withAllFaults(seed, 600)).run();
         assertEquals(report.violations(), List.of(), report.line());
     }
 
     @Test
     public void sameSeedGivesTheSameRun() {
-        String first = new Soak(SoakOptions.everything(5, 150)).run().line();
-        assertEquals(new Soak(SoakOptions.everything(5, 150)).run().line(), first);
+        String first = new Soak(SoakOptions.withAllFaults(5, 150)).run().line();
+        assertEquals(new Soak(SoakOptions.withAllFaults(5, 150)).run().line(), first);
     }
 }
--- a/parsleydrift-bench/src/test/java/org/parsleydrift/bench/decisions/DecisionRunTest.java
+++ b/parsleydrift-bench/src/test/java/org/parsleydrift/bench/decisions/DecisionRunTest.java
@@ -7,7 +7,7 @@
 import java.util.stream.LongStream;
 import org.testng.annotations.Test;
 
-/** The product's placement against others on the same programs. */
+/** Compares the scheduler's placement policy with others on the same programs. */
 public class DecisionRunTest {
     private static final int SEEDS = 2;
 
@@ -33,21 +33,18 @@
         return runs.stream().mapToDouble(RunResult::readShare).average().orElseThrow();
     }
 
-    /**
-     * Symptom: in a burst nearly all programs end late. Events: programs come at nearly twice the usual rate; turns go to
-     * the engine with one request less and their lines are read there anew. Cause: reading was not reckoned with.
-     */
+    /** Guards against placement that ignores prefill cost and moves programs away from cached prompts in a burst. */
     @Test
-    public void inABurstLinesStayWhereTheyAreHeld() {
+    public void burstKeepsProgramsOnCachingEngines() {
         List<RunResult> held = runs(new Policy.HeldParts(), "burst");
         List<RunResult> oneMore = runs(new Policy.OneMore(), "burst");
         assertTrue(read(held) < 0.6 * read(oneMore), read(held) + " against " + read(oneMore));
         assertTrue(worth(held) > worth(oneMore), worth(held) + " against " + worth(oneMore));
     }
 
-    /** The product's policy is no worse than any of the others on any of the loads. */
+    /** Guards against a load pattern on which a simpler policy completes more programs in time. */
     @Test
-    public void noOtherPolicyServesMore() {
+    public void noOtherPolicyScoresHigher() {
         DecisionsMain.PATTERNS.forEach(pattern -> {
             double held = worth(runs(new Policy.HeldParts(), pattern.name()));
             List.of(new Policy.RoundRobin(), new Policy.LeastLoaded(), new Policy.Sticky(), new Policy.OneMore())
@@ -59,17 +56,13 @@
     }
 
     @Test
-    public void aSeedGivesTheSameRunAgain() {
+    public void sameSeedGivesTheSameRun() {
         assertEquals(runs(new Policy.HeldParts(), "burst"), runs(new Policy.HeldParts(), "burst"));
     }
 
-    /**
-     * Symptom: in a burst engines of a large fleet refuse requests as full while others have places, and most programs are
-     * late. Events: programs come at nearly twice the usual rate to 57 nodes. Cause: all nodes see the same engine as the
-     * least loaded until they hear of each other's requests there, 240 ms later, and meet at it.
-     */
+    /** Guards against many nodes that all choose the same least loaded engine between two load reports. */
     @Test
-    public void inABurstManyNodesDontMeetAtOneEngine() {
+    public void burstDoesNotOverloadOneEngine() {
         double worth = worth(runs(new Policy.HeldParts(), "burst", FleetShape.large()));
         assertTrue(worth > 0.9, "worth " + worth);
     }
