--- a/parsleydrift-node/src/main/java/org/parsleydrift/node/host/StepExecutor.java
+++ b/parsleydrift-node/src/main/java/org/parsleydrift/node/host/StepExecutor.java
@@ -80,7 +80,7 @@
                             call.id(), CallOutcome.OUTCOME_UNKNOWN, "its node was lost before the answer"));
         });
         live.state().agents().values().stream()
-                .filter(AgentState::thinking)
+                .filter(AgentState::canRunTurn)
                 .toList()
                 .forEach(agent -> chargeInterruptedTurns(live, agent));
     }
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/AgentState.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/AgentState.java
@@ -27,7 +27,7 @@
      *
      * @return true if the agent has not ended and has no pending actions
      */
-    public boolean thinking() {
+    public boolean canRunTurn() {
         return !done && pending.isEmpty();
     }
 
--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramStateMachine.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/ProgramStateMachine.java
@@ -148,7 +148,7 @@
         if (usage.repeats() >= budget.repeats()) {
             return Optional.of(new ProgramStep.Stop(ProgramEnd.LOOP, usage.repeats() + " times " + usage.lastCall()));
         }
-        boolean needsTurn = state.agents().values().stream().anyMatch(AgentState::thinking);
+        boolean needsTurn = state.agents().values().stream().anyMatch(AgentState::canRunTurn);
         if (needsTurn && (usage.turns() >= budget.turns() || usage.tokens() >= budget.tokens())) {
             return Optional.of(new ProgramStep.Stop(
                     ProgramEnd.BUDGET_SPENT, usage.turns() + " turns, " + usage.tokens() + " tokens"));
@@ -166,7 +166,7 @@
         if (agent.done()) {
             return Optional.empty();
         }
-        if (agent.thinking()) {
+        if (agent.canRunTurn()) {
             return Optional.of(new ProgramStep.RunTurn(agent.path(), agent.turns()));
         }
         PendingAction head = agent.pending().getFirst();
@@ -177,7 +177,7 @@
 
     private static ProgramState applyTurnEnded(ProgramState state, ProgramEvent.TurnEnded ended) {
         AgentState agent = state.agents().get(ended.path());
-        if (agent == null || !agent.thinking() || agent.turns() != ended.turn()) {
+        if (agent == null || !agent.canRunTurn() || agent.turns() != ended.turn()) {
             return state;
         }
         List<Action> actions = ended.actions();
