--- a/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Conversations.java
+++ b/parsleydrift-conversation/src/main/java/org/parsleydrift/conversation/Conversations.java
@@ -80,7 +80,7 @@
 
     private void recordQuorumReply() {
         if (circuitBreaker.recordSuccess()) {
-            LOG.log(Logger.Level.INFO, LogLine.of("store_quorum_restored").toString());
+            LOG.log(Logger.Level.INFO, LogLine.of("quorum_restored").toString());
         }
     }
 
@@ -88,7 +88,7 @@
         if (circuitBreaker.recordFailure(startNanos)) {
             LOG.log(
                     Logger.Level.WARNING,
-                    LogLine.of("store_quorum_lost").failure(failure).toString());
+                    LogLine.of("quorum_lost").failure(failure).toString());
         }
     }
 
