--- a/parsleydrift-program/src/main/java/org/parsleydrift/program/Action.java
+++ b/parsleydrift-program/src/main/java/org/parsleydrift/program/Action.java
@@ -50,13 +50,13 @@
             case "spawn" -> new Spawn(operand(words, line), rest);
             case "wait" -> new AwaitMessage();
             case "end" -> new End();
-            default -> throw new IllegalArgumentException("unknown action, expected tool, spawn, wait or end: " + line);
+            default -> throw new IllegalArgumentException("unknown action: " + line);
         };
     }
 
     private static String operand(String[] words, String line) {
         if (words.length < 2) {
-            throw new IllegalArgumentException("action without a tool or agent name: " + line);
+            throw new IllegalArgumentException("action lacks a name: " + line);
         }
         return words[1];
     }
--- a/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpClient.java
+++ b/parsleydrift-wire/src/main/java/org/parsleydrift/wire/HttpClient.java
@@ -127,11 +127,11 @@
                     if (done.isSuccess()) {
                         start(done.channel());
                     } else {
-                        fail(false, "connection failed: " + done.cause().getMessage());
+                        fail(false, "no connection: " + done.cause().getMessage());
                     }
                 });
             } catch (RuntimeException e) {
-                fail(false, "connection failed: " + e.getMessage());
+                fail(false, "no connection: " + e.getMessage());
             }
         }
 
@@ -139,13 +139,13 @@
             channel = openChannel;
             if (cancelled) {
                 openChannel.close();
-                fail(false, "request cancelled before it was sent");
+                fail(false, "cancelled");
                 return;
             }
             openChannel.eventLoop().execute(() -> {
                 openChannel.pipeline().addLast(new ResponseHandler(this));
                 if (!openChannel.isActive()) {
-                    fail(false, "connection closed before the request was sent");
+                    fail(false, "connection closed before use");
                     return;
                 }
                 var message = new DefaultFullHttpRequest(
@@ -207,7 +207,7 @@
         /** Fails the request on a stalled connection, which TCP would report only after many minutes. */
         private void checkIdleTimeout(ChannelHandlerContext context, Duration idleTimeout) {
             if (context.executor().ticker().nanoTime() - lastByteNanos > idleTimeout.toNanos()) {
-                attempt.fail(true, "no data received for " + idleTimeout.toMillis() + " ms");
+                attempt.fail(true, "silent for " + idleTimeout.toMillis() + " ms");
                 context.close();
             }
         }
@@ -240,7 +240,7 @@
             }
             body.writeBytes(bytes);
             if (body.size() > MAX_RESPONSE_BYTES) {
-                attempt.fail(true, "response body larger than " + MAX_RESPONSE_BYTES + " bytes");
+                attempt.fail(true, "answer larger than " + MAX_RESPONSE_BYTES + " bytes");
                 context.close();
             }
         }
@@ -257,7 +257,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            attempt.fail(true, "connection closed before the end of the response");
+            attempt.fail(true, "connection closed");
         }
 
         @Override
