--- a/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
+++ b/parsleydrift-roles/src/main/java/org/parsleydrift/roles/EntryRole.java
@@ -42,7 +42,7 @@
      */
     static final Duration WATCH_WAIT = Duration.ofSeconds(24);
 
-    private static final Duration NODES_WATCH_WAIT = Duration.ofSeconds(25);
+    private static final Duration NODES_WAIT = Duration.ofSeconds(25);
     /** Cache time of the directory response, s. Short, so that callers soon leave a node that is shutting down. */
     private static final int DIRECTORY_CACHE_SECONDS = 1;
     /** Maximum number of connections to the readiness endpoint and to the directory endpoint. */
@@ -105,18 +105,12 @@
                 context.plugin.headerNames(),
                 context.random,
                 context.meters);
-        runners = createWatched(
-                ObjectKind.RUNNERS, listener(registry::applyRunnerChanges, registry::setPlatformReachable));
-        manifests = createWatched(
-                ObjectKind.MANIFEST, listener(registry::applyManifestChanges, registry::setManifestCurrent));
-        storeSets = createWatched(ObjectKind.STORE_SET, listener(this::applyStoreSetChanges, reachable -> {}));
+        runners = watch(ObjectKind.RUNNERS, listener(registry::applyRunnerChanges, registry::setPlatformReachable));
+        manifests = watch(ObjectKind.MANIFEST, listener(registry::applyManifestChanges, registry::setManifestCurrent));
+        storeSets = watch(ObjectKind.STORE_SET, listener(this::applyStoreSetChanges, reachable -> {}));
         nodes = context.createWatcher(
-                ObjectKind.NODES,
-                NODES_WATCH_WAIT,
-                new VersionedTable(),
-                listener(this::applyNodeChanges, reachable -> {}));
-        // Peers introduce each other, so the initial list is enough until the mesh has decided which nodes watch for
-        // new ones.
+                ObjectKind.NODES, NODES_WAIT, new VersionedTable(), listener(this::applyNodeChanges, reachable -> {}));
+        // Peers introduce each other; the initial list suffices until the mesh has decided which nodes watch.
         nodes.setWatching(false);
         mesh = new NodeMesh(
                 context.loop,
@@ -328,7 +322,7 @@
         };
     }
 
-    private WatchedObjects createWatched(ObjectKind kind, ObjectWatcher.Listener listener) {
+    private WatchedObjects watch(ObjectKind kind, ObjectWatcher.Listener listener) {
         WatchedObjects objects =
                 new WatchedObjects(kind, context.objects, context.loop, context.random, WATCH_WAIT, listener);
         objects.registerGauges(context.meters);
